--- a/internal/coordination/entry/entry.go
+++ b/internal/coordination/entry/entry.go
@@ -141,7 +141,7 @@
 	for _, m := range e.Node.Table().Live() {
 		live[m.Incarnation] = true
 	}
-	e.Runner.Tickets.Forget(func(incarnation uint64) bool { return live[incarnation] })
+	e.Runner.Tickets.Prune(func(incarnation uint64) bool { return live[incarnation] })
 }
 
 // queue returns the fair queue of a service. Its capacity is the sum of the
--- a/internal/coordination/entry/plain.go
+++ b/internal/coordination/entry/plain.go
@@ -159,13 +159,13 @@
 	if !ok || !s.Allows(c.customer.ID) || !s.NotRepeatable {
 		return apierror.New(http.StatusNotFound, apierror.CodeNotFound, "no service named "+id+" that takes tickets")
 	}
-	ticket, err := e.Runner.TakeTicket(c.r.Context(), c.customer, s)
+	ticket, err := e.Runner.IssueTicket(c.r.Context(), c.customer, s)
 	if err != nil {
 		return err
 	}
 	httpjson.Write(c.w, http.StatusOK, struct {
 		Ticket  string `json:"ticket"`
 		ValidMS int64  `json:"valid_ms"`
-	}{ticket, runs.TicketValidity.Milliseconds()})
+	}{ticket, runs.MinTicketValidity.Milliseconds()})
 	return nil
 }
--- a/internal/coordination/entry/prompts.go
+++ b/internal/coordination/entry/prompts.go
@@ -135,7 +135,7 @@
 	if refused != nil {
 		return refused
 	}
-	job.Key = key
+	job.IdempotencyKey = key
 	timeout, refused := c.timeout(job.Service)
 	if refused != nil {
 		return refused
@@ -256,7 +256,7 @@
 	usage := openai.NewUsage(s.prompts, s.cached, result.CompletionTokens)
 	if s.prompt.Stream {
 		s.open()
-		s.c.w.Write(s.out.Last(result.Reason, usage))
+		s.c.w.Write(s.out.Last(result.FinishReason, usage))
 		return nil
 	}
 	h := s.c.w.Header()
@@ -264,7 +264,7 @@
 	if result.Replayed {
 		h.Set(ReplayedHeader, "true")
 	}
-	s.c.w.Write(s.out.Whole(s.text.String(), result.Reason, usage))
+	s.c.w.Write(s.out.Whole(s.text.String(), result.FinishReason, usage))
 	return nil
 }
 
--- a/internal/coordination/runs/once.go
+++ b/internal/coordination/runs/atmostonce.go
@@ -31,7 +31,7 @@
 // one agent incarnation that may run it; whatever fails, only that incarnation
 // is asked again, and it answers from its record.
 func (r *Runner) runOnce(ctx context.Context, job *Job, p *progress) (Result, *apierror.Error) {
-	if job.Key != "" {
+	if job.IdempotencyKey != "" {
 		return r.runKeyed(ctx, job, p)
 	}
 	request := r.routingRequest(job, nil)
@@ -42,7 +42,7 @@
 		if choice.Member.ID == "" {
 			return Result{}, noEndpoint(choice.Refusal, last, p)
 		}
-		ticket, err := r.Tickets.Take(ctx, choice.Member)
+		ticket, err := r.Tickets.Acquire(ctx, choice.Member)
 		if err != nil {
 			r.Directory.Done(choice, true, time.Now())
 			last = &outcome{ran: wire.Ran_RAN_NO, code: "endpoint_not_reached", message: err.Error(), retryAfter: time.Second}
@@ -72,8 +72,8 @@
 
 // runKeyed finds the ticket that the caller's key stands for.
 func (r *Runner) runKeyed(ctx context.Context, job *Job, p *progress) (Result, *apierror.Error) {
-	ticket, isTicket := ParseTicketKey(job.Customer, job.Service.ID, job.Key)
-	if strings.HasPrefix(job.Key, ticketPrefix) && !isTicket {
+	ticket, isTicket := ParseTicketKey(job.Customer, job.Service.ID, job.IdempotencyKey)
+	if strings.HasPrefix(job.IdempotencyKey, ticketPrefix) && !isTicket {
 		return Result{}, apierror.New(http.StatusBadRequest, apierror.CodeKeyRequired, "the key looks like a ticket but was not issued to this customer and service")
 	}
 	if !isTicket {
@@ -112,7 +112,7 @@
 		if choice.Member.ID == "" {
 			break
 		}
-		proposed, err := r.Tickets.Take(ctx, choice.Member)
+		proposed, err := r.Tickets.Acquire(ctx, choice.Member)
 		r.Directory.Done(choice, err != nil, time.Now())
 		if err != nil {
 			last = err
@@ -135,7 +135,7 @@
 }
 
 func (r *Runner) bindTo(ctx context.Context, job *Job, proposed claims.Ticket) (claims.Ticket, *apierror.Error) {
-	key := claims.HashKey(job.Customer.ID, job.Service.ID, job.Key)
+	key := claims.HashKey(job.Customer.ID, job.Service.ID, job.IdempotencyKey)
 	ticket, err := r.Binder.Bind(ctx, key, proposed)
 	switch {
 	case err == nil:
@@ -267,8 +267,8 @@
 	return &TicketPool{pool: pool, sets: map[uint64]*ticketSet{}}
 }
 
-// Take returns an unused ticket of a member, fetching more when it has none.
-func (t *TicketPool) Take(ctx context.Context, m fleet.Member) (claims.Ticket, error) {
+// Acquire returns an unused ticket of a member, fetching more when it has none.
+func (t *TicketPool) Acquire(ctx context.Context, m fleet.Member) (claims.Ticket, error) {
 	set := t.set(m.Incarnation)
 	set.mint.Lock()
 	defer set.mint.Unlock()
@@ -315,12 +315,12 @@
 	return nil
 }
 
-// TicketValidity is how long a ticket given to a caller may at least be used.
-const TicketValidity = ticketMargin
+// MinTicketValidity is how long a ticket given to a caller may at least be used.
+const MinTicketValidity = ticketMargin
 
-// TakeTicket returns a ticket of a well-chosen endpoint, for a caller to use as
+// IssueTicket returns a ticket of a well-chosen endpoint, for a caller to use as
 // its idempotency key.
-func (r *Runner) TakeTicket(ctx context.Context, c *config.Customer, s *config.Service) (string, *apierror.Error) {
+func (r *Runner) IssueTicket(ctx context.Context, c *config.Customer, s *config.Service) (string, *apierror.Error) {
 	request := &routing.Request{Objective: s.Objective, Domain: r.Table.Self().Domain}
 	for range maxAttempts {
 		request.Now = time.Now()
@@ -328,7 +328,7 @@
 		if choice.Member.ID == "" {
 			break
 		}
-		ticket, err := r.Tickets.Take(ctx, choice.Member)
+		ticket, err := r.Tickets.Acquire(ctx, choice.Member)
 		r.Directory.Done(choice, err != nil, time.Now())
 		if err == nil {
 			return TicketKey(c, s.ID, ticket), nil
@@ -338,8 +338,8 @@
 	return "", apierror.Later(http.StatusServiceUnavailable, apierror.CodeNoEndpoint, "no endpoint gives tickets now", time.Second)
 }
 
-// Forget drops the tickets of incarnations that are no longer live.
-func (t *TicketPool) Forget(live func(incarnation uint64) bool) {
+// Prune drops the tickets of incarnations that are no longer live.
+func (t *TicketPool) Prune(live func(incarnation uint64) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for incarnation := range t.sets {
--- a/internal/coordination/runs/crash.go
+++ b/internal/coordination/runs/crash.go
@@ -30,7 +30,7 @@
 		return nil
 	}
 	refused := r.Guard.Admit(ctx, job.fingerprint())
-	if refused != nil && job.Key != "" {
+	if refused != nil && job.IdempotencyKey != "" {
 		refused = refused.WithRan(apierror.RanUnknown, apierror.AdviceSameKey)
 	}
 	return refused
--- a/internal/coordination/runs/crash_test.go
+++ b/internal/coordination/runs/crash_test.go
@@ -48,7 +48,7 @@
 	if err == nil || err.Code != apierror.CodeQuarantined || err.Status != http.StatusServiceUnavailable || err.Ran != apierror.RanNo || err.Retry.AfterMS <= 0 {
 		t.Errorf("%+v", err)
 	}
-	poison.Key = "key"
+	poison.IdempotencyKey = "key"
 	if _, err := r.Run(t.Context(), poison, &collect{}); err == nil || err.Ran != apierror.RanUnknown || err.Retry.Advice != apierror.AdviceSameKey {
 		t.Errorf("with a key, under which it may have run: %+v", err)
 	}
--- a/internal/coordination/runs/gone.go
+++ b/internal/coordination/runs/liveness.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// WatchDuty ends attempts whose member is gone. A host that vanishes closes no
+// WatchMembership ends attempts whose member is gone. A host that vanishes closes no
 // connection; without this its streams would wait for their deadline.
-func (r *Runner) WatchDuty(ctx context.Context) {
+func (r *Runner) WatchMembership(ctx context.Context) {
 	for {
 		changed := r.Table.Changed()
 		var again <-chan time.Time
--- a/internal/coordination/runs/gone_test.go
+++ b/internal/coordination/runs/liveness_test.go
@@ -108,7 +108,7 @@
 func TestVanishedMemberEndsItsAttempts(t *testing.T) {
 	r, fake := runner(t, 1, nil)
 	fake.silent, fake.arrived, fake.ended = 1, make(chan struct{}), make(chan uint32, 1)
-	go r.WatchDuty(t.Context())
+	go r.WatchMembership(t.Context())
 	go func() {
 		<-fake.arrived
 		declareDead(r, time.Now())
--- a/internal/coordination/runs/runs.go
+++ b/internal/coordination/runs/runs.go
@@ -42,8 +42,8 @@
 	Service   *config.Service
 	Prompt    *wire.Prompt
 	Plain     *wire.PlainCall
-	// Key is the caller's idempotency key, or empty.
-	Key string
+	// IdempotencyKey is the caller's idempotency key, or empty.
+	IdempotencyKey string
 	// Digest of the request, which a key is bound to.
 	Digest []byte
 }
@@ -64,7 +64,7 @@
 
 // Result is a whole answer's end.
 type Result struct {
-	Reason           string
+	FinishReason     string
 	CompletionTokens int
 	Replayed         bool
 	Attempts         int
@@ -206,7 +206,7 @@
 
 func (o *outcome) result(number uint32, c routing.Choice) Result {
 	return Result{
-		Reason: o.finished.GetReason(), CompletionTokens: int(o.finished.GetCompletionTokens()),
+		FinishReason: o.finished.GetReason(), CompletionTokens: int(o.finished.GetCompletionTokens()),
 		Replayed: o.finished.GetReplayed(), Attempts: int(number), Endpoint: c.Member.Endpoint.ID,
 	}
 }
--- a/internal/coordination/runs/runs_test.go
+++ b/internal/coordination/runs/runs_test.go
@@ -447,7 +447,7 @@
 func keyedJob(incarnation uint64) *Job {
 	job := plainJob(http.MethodPost)
 	job.Service.NotRepeatable = true
-	job.Key = TicketKey(job.Customer, job.Service.ID, claims.Ticket{Incarnation: incarnation, Sequence: 1})
+	job.IdempotencyKey = TicketKey(job.Customer, job.Service.ID, claims.Ticket{Incarnation: incarnation, Sequence: 1})
 	return job
 }
 
