--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -165,9 +165,9 @@
 	p.gateway = &gateway.Gateway{
 		Domain: s.Platform.Domain, State: state, Watcher: watcher,
 		Directory: routing.NewDirectory(state.Table, state.Services, contextIndex, self.Incarnation),
-		Pool:      upstream.NewPool(endpointDialer.Dial), Dial: endpointDialer.Dial, Budget: runs.NewRetryBudget(retryPart*b.RetryRatio, platformRetryBurst),
+		Pool:      upstream.NewPool(endpointDialer.Dial), Dial: endpointDialer.Dial, RetryBudget: runs.NewRetryBudget(retryPart*b.RetryRatio, platformRetryBurst),
 		Codec: platform.Codec{}, Keeper: keeper, Log: log, Metrics: registry,
-		RequestLines: rate.NewLimiter(rate.Limit(*s.RequestLines), *s.RequestLines),
+		RequestLogLimiter: rate.NewLimiter(rate.Limit(*s.RequestLines), *s.RequestLines),
 	}
 	p.gateway.Guard = quarantine.NewGuard(quarantine.NewBook(), store, log, registry, bootclock.Now)
 	if b.KeysRevoked > 0 {
@@ -180,9 +180,9 @@
 	p.share(self, store, watcher, director, keeper)
 	p.run(watcher.Run)
 	p.run(p.gateway.Guard.Run)
-	p.gateway.Leads = director.Leads
-	p.gateway.Doubts = ring.New[string](gateway.DoubtsHeld)
-	p.gateway.AskWeights = func(ctx context.Context, i discovery.Instance) (gateway.OwnWord, error) {
+	p.gateway.IsLeader = director.Leads
+	p.gateway.WeightQueries = ring.New[string](gateway.DoubtsHeld)
+	p.gateway.QueryWeights = func(ctx context.Context, i discovery.Instance) (gateway.OwnWord, error) {
 		report, err := engines.Report(ctx, i)
 		return gateway.OwnWord{Born: report.Born, Weights: report.Weights[i.Model]}, err
 	}
@@ -301,20 +301,20 @@
 // underway then is cut, and its callers are told.
 func (p *gatewayProcess) drain(stop Stop) {
 	grace := p.settings.Platform.Bounds.StopGrace
-	p.log.Info("stopping", zap.Int64("requests_underway", p.gateway.Inflight()), zap.Duration("time_to_stop", grace))
+	p.log.Info("stopping", zap.Int64("requests_underway", p.gateway.InFlight()), zap.Duration("time_to_stop", grace))
 	now := time.Now()
 	notice, end := min(balancerNotice, grace/2), now.Add(grace-graceMargin)
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
-	p.gateway.Stop()
-	p.gateway.Drain(now.Add(notice+crossing), end)
+	p.gateway.MarkNotReady()
+	p.gateway.SetDrainWindow(now.Add(notice+crossing), end)
 	p.clients.StopKeeping()
 	select {
 	case <-time.After(notice):
 	case <-stop.Now:
 	}
 	if err := p.clients.Stop(ctx); err != nil {
-		p.log.Warn("requests cut at the end of the time to stop", zap.Int64("requests", p.gateway.Inflight()), zap.Error(err))
+		p.log.Warn("requests cut at the end of the time to stop", zap.Int64("requests", p.gateway.InFlight()), zap.Error(err))
 		p.cut()
 	}
 }
@@ -325,7 +325,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
 	defer cancel()
 	if err := p.clients.Cut(ctx, runs.ErrStopping); err != nil {
-		p.log.Warn("requests without a last answer", zap.Int64("requests", p.gateway.Inflight()), zap.Error(err))
+		p.log.Warn("requests without a last answer", zap.Int64("requests", p.gateway.InFlight()), zap.Error(err))
 	}
 }
 
--- a/internal/coordination/gateway/attempt.go
+++ b/internal/coordination/gateway/attempt.go
@@ -72,9 +72,9 @@
 const maxBuffered = 256 << 10
 
 // send makes one attempt up to the head of the answer.
-func (x *exchange) send(ctx context.Context, c routing.Choice, s Send) (*upstream.Response, Reply, outcome) {
+func (x *exchange) send(ctx context.Context, c routing.Choice, s Attempt) (*upstream.Response, Reply, outcome) {
 	header := forwarded(x.r.Header)
-	x.g.Codec.EncodeSend(header, s)
+	x.g.Codec.EncodeAttempt(header, s)
 	request := &upstream.Request{
 		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Header: header,
 		Body: x.body, HasBody: x.r.Header.Get("Content-Length") != "", Matches: x.matches,
@@ -119,7 +119,7 @@
 }
 
 // rejectedBy ends an attempt that the endpoint did not run.
-func (x *exchange) rejectedBy(c routing.Choice, s Send, r Reply) outcome {
+func (x *exchange) rejectedBy(c routing.Choice, s Attempt, r Reply) outcome {
 	switch {
 	case r.Misdirected && s.Weights > 0:
 		x.g.doubt(c.Member.ID)
@@ -151,7 +151,7 @@
 
 // plainAttempt runs a request whose answer is short: it is passed on when it is
 // whole, so that a broken one can be asked for again.
-func (x *exchange) plainAttempt(ctx context.Context, c routing.Choice, s Send) outcome {
+func (x *exchange) plainAttempt(ctx context.Context, c routing.Choice, s Attempt) outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	defer x.callBackWhenBlamed(cancel)()
--- a/internal/coordination/gateway/call.go
+++ b/internal/coordination/gateway/call.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Part is one piece of a prompt, named by whoever made it.
-type Part struct {
+// Segment is one piece of a prompt, named by whoever made it.
+type Segment struct {
 	ID     string
 	Tokens int
 }
@@ -22,20 +22,20 @@
 	Model    string
 	// PromptTokens and OutputTokens bound the work; 0 for plain calls.
 	PromptTokens, OutputTokens int
-	// Parts of the prompt in order; the last is the request's own.
-	Parts []Part
+	// Segments of the prompt in order; the last is the request's own.
+	Segments []Segment
 	// LastEvent is the last event of a stream that the caller already has.
 	LastEvent string
 }
 
-// Send is what one attempt at an endpoint says besides the caller's own header.
-type Send struct {
+// Attempt is what one attempt at an endpoint says besides the caller's own header.
+type Attempt struct {
 	// Instance is the only one that may run the request.
 	Instance string
 	// Customer that the caller's key belongs to, empty on public routes.
 	Customer string
-	// Left of the caller's time.
-	Left time.Duration
+	// TimeLeft of the caller's time.
+	TimeLeft time.Duration
 	// Weights is the version of the model that the endpoint must have; 0 if any.
 	Weights int64
 	// CacheSalt separates contexts: endpoints reuse only parts under the same one.
@@ -78,9 +78,9 @@
 type Codec interface {
 	// DecodeCall reads a caller's header; its error names the place.
 	DecodeCall(h http.Header) (Call, error)
-	// EncodeSend changes a header for an endpoint: it takes out what only the system
+	// EncodeAttempt changes a header for an endpoint: it takes out what only the system
 	// may say and sets what it says.
-	EncodeSend(h http.Header, s Send)
+	EncodeAttempt(h http.Header, s Attempt)
 	// DecodeReply reads an answer's header.
 	DecodeReply(status int, h http.Header) Reply
 	// EncodeRetryAfter tells a caller when to come back.
--- a/internal/coordination/gateway/callers_test.go
+++ b/internal/coordination/gateway/callers_test.go
@@ -195,7 +195,7 @@
 			s := newSite(t, route(routes.Idempotent, 1), say(200, "a"))
 			now := time.Now()
 			// The route gives 30 s.
-			s.gateway.Drain(now.Add(row.from), now.Add(20*time.Second))
+			s.gateway.SetDrainWindow(now.Add(row.from), now.Add(20*time.Second))
 			req := s.request("GET", "/r/x", "")
 			if row.left > 0 {
 				req.Header.Set(testLeft, fmt.Sprint(row.left.Milliseconds()))
--- a/internal/coordination/gateway/config_test.go
+++ b/internal/coordination/gateway/config_test.go
@@ -90,7 +90,7 @@
 	core, lines := observer.New(zapcore.InfoLevel)
 	s.gateway.Log = zap.New(core)
 	const told, sent = 3, 8
-	s.gateway.RequestLines = rate.NewLimiter(0, told)
+	s.gateway.RequestLogLimiter = rate.NewLimiter(0, told)
 	for range sent {
 		if resp, _, err := s.ask(s.request("GET", "/r/x", "")); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v %v", resp, err)
--- a/internal/coordination/gateway/ending_test.go
+++ b/internal/coordination/gateway/ending_test.go
@@ -271,14 +271,14 @@
 func TestLastEndpointSpendsNoRetryBudget(t *testing.T) {
 	// The fake endpoint closes its connection after an answer: it must not be used again.
 	s := newSite(t, route(routes.Idempotent, 3), say(500, "sorry"))
-	s.gateway.Budget = runs.NewRetryBudget(0, 5)
+	s.gateway.RetryBudget = runs.NewRetryBudget(0, 5)
 	for range 10 {
 		if resp, _, err := s.ask(s.request("POST", "/r/x", "order")); err != nil || resp.StatusCode != 500 {
 			t.Fatalf("%v %v", resp, err)
 		}
 	}
 	left := 0
-	for s.gateway.Budget.Spend() {
+	for s.gateway.RetryBudget.Spend() {
 		left++
 	}
 	if left != 5 {
@@ -290,7 +290,7 @@
 // one must not stay booked as if it were at work.
 func TestBudgetUsedUpGivesTheEndpointBack(t *testing.T) {
 	s := newSite(t, route(routes.Idempotent, 3), say(500, "sorry"), say(500, "sorry"))
-	s.gateway.Budget = runs.NewRetryBudget(0, 0)
+	s.gateway.RetryBudget = runs.NewRetryBudget(0, 0)
 	if resp, _, err := s.ask(s.request("POST", "/r/x", "order")); err != nil || resp.StatusCode != 500 || s.runs() != 1 {
 		t.Fatalf("%v %v, %d runs", resp, err, s.runs())
 	}
@@ -442,7 +442,7 @@
 	request := x.routingRequest()
 	request.Exclude = []string{"i-1"}
 	for _, end := range ends {
-		x.book(x.choose(request, promptContext{}, outcome{}), Send{}, end, time.Now())
+		x.book(x.choose(request, promptContext{}, outcome{}), Attempt{}, end, time.Now())
 	}
 	request.Exclude = nil
 	for range 20 {
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -47,27 +47,27 @@
 	// Dial opens a connection to an endpoint whose runs have broken; nil finds out nothing.
 	Dial upstream.DialFunc
 	// Guard keeps requests that crash endpoints from being run; nil lets all run.
-	Guard  *quarantine.Guard
-	Budget *runs.RetryBudget
-	Codec  Codec
+	Guard       *quarantine.Guard
+	RetryBudget *runs.RetryBudget
+	Codec       Codec
 	// KeysValidFor is how long keys are believed after the configuration was last known to
 	// be the newest: one that has been taken away meanwhile must not be served for longer.
 	// 0 sets no limit.
 	KeysValidFor time.Duration
 	// Keeper plans imports and saves of context; nil does neither.
 	Keeper *kept.Keeper
-	// Doubts holds the engines that LearnDuty asks by AskWeights, see doubt; nil asks none.
-	Doubts     *ring.Ring[string]
-	AskWeights WeightsOf
+	// WeightQueries holds the engines that LearnDuty asks by AskWeights, see doubt; nil asks none.
+	WeightQueries *ring.Ring[string]
+	QueryWeights  WeightsOf
 	// Copier copies running requests between engines; nil leaves each where it began.
 	Copier RunCopier
-	// Leads tells whether this process does what one process does for all.
-	Leads   func() bool
-	Log     *zap.Logger
-	Metrics metrics.Registry
-	// RequestLines bounds the log's lines of requests, which grow with what callers send;
+	// IsLeader tells whether this process does what one process does for all.
+	IsLeader func() bool
+	Log      *zap.Logger
+	Metrics  metrics.Registry
+	// RequestLogLimiter bounds the log's lines of requests, which grow with what callers send;
 	// all other lines come with changes of the surroundings. nil sets no bound.
-	RequestLines *rate.Limiter
+	RequestLogLimiter *rate.Limiter
 
 	// weights holds the newest version of each model that an endpoint serves.
 	weights atomic.Pointer[map[string]int64]
@@ -85,15 +85,15 @@
 // drain is the end of a stop.
 type drain struct{ lateFrom, end time.Time }
 
-// Stop makes the gateway say that it is not ready; requests are served on.
-func (g *Gateway) Stop() { g.stopping.Store(true) }
+// MarkNotReady makes the gateway say that it is not ready; requests are served on.
+func (g *Gateway) MarkNotReady() { g.stopping.Store(true) }
 
-// Drain tells that the process ends at end. A request that begins after lateFrom is served only if
+// SetDrainWindow tells that the process ends at end. A request that begins after lateFrom is served only if
 // its own time ends before, and else refused: cut at the end, it may have run.
-func (g *Gateway) Drain(lateFrom, end time.Time) { g.drain.Store(&drain{lateFrom, end}) }
+func (g *Gateway) SetDrainWindow(lateFrom, end time.Time) { g.drain.Store(&drain{lateFrom, end}) }
 
-// Inflight counts the requests underway.
-func (g *Gateway) Inflight() int64 { return g.inflight.Load() }
+// InFlight counts the requests underway.
+func (g *Gateway) InFlight() int64 { return g.inflight.Load() }
 
 // ServeReady answers the balancer's probe.
 func (g *Gateway) ServeReady(w http.ResponseWriter, _ *http.Request) {
@@ -382,7 +382,7 @@
 func (x *exchange) serve() ending {
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.deadline)
 	defer cancel()
-	x.g.Budget.Earn()
+	x.g.RetryBudget.Earn()
 	if x.stopping() {
 		// Nothing may be sent any more: a connection to an endpoint closes too late to prevent it.
 		return x.cutShort()
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -53,17 +53,17 @@
 		c.Deadline = time.Duration(ms) * time.Millisecond
 	}
 	if part := h.Get(testPart); part != "" {
-		c.Model, c.PromptTokens, c.Parts = "m", 100, []Part{{ID: part, Tokens: 90}, {ID: "own", Tokens: 10}}
+		c.Model, c.PromptTokens, c.Segments = "m", 100, []Segment{{ID: part, Tokens: 90}, {ID: "own", Tokens: 10}}
 	}
 	return c, nil
 }
 
-func (testCodec) EncodeSend(h http.Header, s Send) {
+func (testCodec) EncodeAttempt(h http.Header, s Attempt) {
 	h.Del(testKey)
 	h.Set(testTarget, s.Instance)
 	h.Set(testTenant, s.Customer)
 	h.Set(testLast, s.LastEvent)
-	h.Set(testLeft, strconv.FormatInt(s.Left.Milliseconds(), 10))
+	h.Set(testLeft, strconv.FormatInt(s.TimeLeft.Milliseconds(), 10))
 	h.Set(testWeights, strconv.FormatInt(s.Weights, 10))
 	h.Set(testContinue, s.ContinueFrom)
 }
@@ -126,7 +126,7 @@
 		Domain: "a", State: state, Watcher: &discovery.Watcher{Log: log},
 		Directory: routing.NewDirectory(state.Table, state.Services, 100, 1),
 		Pool:      upstream.NewPool(dial), Dial: dial,
-		Budget: runs.NewRetryBudget(1, 100), Codec: testCodec{}, Log: log, Metrics: metrics.NewRegistry(),
+		RetryBudget: runs.NewRetryBudget(1, 100), Codec: testCodec{}, Log: log, Metrics: metrics.NewRegistry(),
 	}
 	s.server = httptest.NewServer(s.gateway)
 	t.Cleanup(s.server.Close)
@@ -536,7 +536,7 @@
 // TestRetryBudget lets every endpoint fail with the budget used up.
 func TestRetryBudget(t *testing.T) {
 	s := newSite(t, route(routes.Idempotent, 2), say(500, "sorry"), say(500, "sorry"))
-	s.gateway.Budget = runs.NewRetryBudget(0, 0)
+	s.gateway.RetryBudget = runs.NewRetryBudget(0, 0)
 	if resp, _, err := s.ask(s.request("GET", "/r/x", "")); err != nil || resp.StatusCode != 500 || s.runs() != 1 {
 		t.Errorf("%v %v, sent to %d", resp, err, s.runs())
 	}
--- a/internal/coordination/gateway/prompt.go
+++ b/internal/coordination/gateway/prompt.go
@@ -38,7 +38,7 @@
 	if x.customer != nil && x.customer.Isolated {
 		p.wall = "customer " + x.customer.Name
 	}
-	parts := x.call.Parts
+	parts := x.call.Segments
 	if len(parts) > 1 {
 		parts = parts[:len(parts)-1]
 	}
@@ -85,7 +85,7 @@
 
 // place says where a send's context comes from and goes to. Without a known
 // version of weights nothing is shared: what an engine keeps may be of any.
-func (x *exchange) place(s *Send, p promptContext, c routing.Choice) {
+func (x *exchange) place(s *Attempt, p promptContext, c routing.Choice) {
 	weights, err := strconv.ParseInt(c.Member.Endpoint.WeightVersion, 10, 64)
 	if err != nil || x.g.Keeper == nil {
 		return
@@ -102,7 +102,7 @@
 // forAllParts adds the parts that belong to the request alone: they come from
 // nowhere and go nowhere.
 func (x *exchange) forAllParts(addresses []string) []string {
-	for len(addresses) < len(x.call.Parts) {
+	for len(addresses) < len(x.call.Segments) {
 		addresses = append(addresses, "")
 	}
 	return addresses
--- a/internal/coordination/gateway/relocate.go
+++ b/internal/coordination/gateway/relocate.go
@@ -90,7 +90,7 @@
 }
 
 // watchRelocation starts a relocation for an attempt; ctx is the attempt's, and cut ends it.
-func (x *exchange) watchRelocation(ctx context.Context, cut func(), c routing.Choice, send Send) *relocation {
+func (x *exchange) watchRelocation(ctx context.Context, cut func(), c routing.Choice, send Attempt) *relocation {
 	r := &relocation{done: make(chan struct{})}
 	ctx, r.stop = context.WithCancel(ctx)
 	leave := x.g.State.Emptying(c.Member.ID)
--- a/internal/coordination/gateway/requestline.go
+++ b/internal/coordination/gateway/requestlog.go
@@ -57,7 +57,7 @@
 
 // log writes the exchange's one line.
 func (x *exchange) log(refusal *apierror.Error, got receipt.Receipt) {
-	if x.g.RequestLines != nil && !x.g.RequestLines.Allow() {
+	if x.g.RequestLogLimiter != nil && !x.g.RequestLogLimiter.Allow() {
 		x.g.count("request_lines_dropped")
 		return
 	}
--- a/internal/coordination/gateway/run.go
+++ b/internal/coordination/gateway/run.go
@@ -67,7 +67,7 @@
 			x.g.Directory.Release(choice)
 			return refuseWith(refusal)
 		}
-		if last.costsRetry() && !x.g.Budget.Spend() {
+		if last.costsRetry() && !x.g.RetryBudget.Spend() {
 			x.g.count("retry_budget_used_up")
 			x.g.Directory.Release(choice)
 			return x.final(last, sent)
@@ -132,7 +132,7 @@
 }
 
 // continueFrom makes a send go on with a copied run, whose memory holds all context.
-func (s *Send) continueFrom(copied string) {
+func (s *Attempt) continueFrom(copied string) {
 	s.ContinueFrom, s.ImportFrom, s.ExportTo, s.ImportUntil = copied, nil, nil, 0
 }
 
@@ -199,7 +199,7 @@
 }
 
 // book tells the directory how an attempt ended, and keeps it for the log.
-func (x *exchange) book(c routing.Choice, sent Send, o outcome, started time.Time) {
+func (x *exchange) book(c routing.Choice, sent Attempt, o outcome, started time.Time) {
 	now := time.Now()
 	t := try{
 		Endpoint: c.Member.ID, Reason: string(c.Reason), Outcome: o.verdict.String(), TookMS: now.Sub(started).Milliseconds(),
@@ -288,8 +288,8 @@
 }
 
 // sendFor says what an attempt at a chosen endpoint carries.
-func (x *exchange) sendFor(c routing.Choice, p promptContext) Send {
-	s := Send{Instance: c.Member.ID, Left: x.left(), Urgency: x.urgency(), LastEvent: x.call.LastEvent}
+func (x *exchange) sendFor(c routing.Choice, p promptContext) Attempt {
+	s := Attempt{Instance: c.Member.ID, TimeLeft: x.left(), Urgency: x.urgency(), LastEvent: x.call.LastEvent}
 	if x.customer != nil {
 		s.Customer = x.customer.Name
 	}
--- a/internal/coordination/gateway/stale_test.go
+++ b/internal/coordination/gateway/stale_test.go
@@ -71,7 +71,7 @@
 			list := route(row.kind, row.attempts)
 			list[0].Resumable = true
 			s := newSite(t, list, inTurn(keepAlive(counted(row.kept)), counted(row.fresh)))
-			s.gateway.Budget = runs.NewRetryBudget(0, row.budget)
+			s.gateway.RetryBudget = runs.NewRetryBudget(0, row.budget)
 			if resp, body, err := s.ask(s.request("POST", "/r/x", "order")); err != nil || resp.StatusCode != 200 {
 				t.Fatalf("%v %q %v", resp, body, err)
 			}
--- a/internal/coordination/gateway/stop_test.go
+++ b/internal/coordination/gateway/stop_test.go
@@ -134,7 +134,7 @@
 
 // untilInflight waits until the gateway has a request.
 func (s *site) untilInflight() {
-	for s.gateway.Inflight() == 0 {
+	for s.gateway.InFlight() == 0 {
 		runtime.Gosched()
 	}
 }
--- a/internal/coordination/gateway/stream.go
+++ b/internal/coordination/gateway/stream.go
@@ -36,7 +36,7 @@
 // streamAttempt runs a request whose answer is a stream, and passes its events on
 // as they come, each whole and once. After a broken attempt the next goes on
 // behind the last event passed on.
-func (x *exchange) streamAttempt(ctx context.Context, c routing.Choice, s Send) outcome {
+func (x *exchange) streamAttempt(ctx context.Context, c routing.Choice, s Attempt) outcome {
 	x.firstEvent = time.Time{}
 	if x.stream.last != "" {
 		s.LastEvent = x.stream.last
--- a/internal/coordination/gateway/sync.go
+++ b/internal/coordination/gateway/sync.go
@@ -82,7 +82,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if g.Leads() {
+		if g.IsLeader() {
 			g.Keeper.Clean(ctx, g.oldestWeights())
 		}
 	}
--- a/internal/coordination/gateway/weights.go
+++ b/internal/coordination/gateway/weights.go
@@ -27,7 +27,7 @@
 // rollout, and every engine that has loaded would reject all it sends for as long as that
 // lasts.
 func (g *Gateway) doubt(id string) {
-	if g.Doubts != nil && !g.Doubts.TryPush(id) {
+	if g.WeightQueries != nil && !g.WeightQueries.TryPush(id) {
 		g.count("doubts_dropped")
 	}
 }
@@ -36,7 +36,7 @@
 func (g *Gateway) LearnDuty(ctx context.Context) {
 	asked := map[string]time.Time{}
 	for {
-		id, err := g.Doubts.Pop(ctx)
+		id, err := g.WeightQueries.Pop(ctx)
 		if err != nil {
 			return
 		}
@@ -61,7 +61,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	told, err := g.AskWeights(ctx, instance)
+	told, err := g.QueryWeights(ctx, instance)
 	if errors.Is(err, rollout.ErrOtherInstance) {
 		g.State.Misdirected(id)
 	}
--- a/internal/coordination/gateway/weights_test.go
+++ b/internal/coordination/gateway/weights_test.go
@@ -65,9 +65,9 @@
 	s.gateway.State.SetRoutes(routes.New(2, 10, list, []routes.Service{{Name: "s", Engine: &routes.Engine{Slots: 4}}},
 		[]routes.Customer{{Name: "club", Keys: []string{"key"}}}, routes.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20}))
 	s.gateway.Keeper = newKeeper()
-	s.gateway.Doubts = ring.New[string](DoubtsHeld)
+	s.gateway.WeightQueries = ring.New[string](DoubtsHeld)
 	asked := make(chan string, DoubtsHeld)
-	s.gateway.AskWeights = func(_ context.Context, i discovery.Instance) (OwnWord, error) {
+	s.gateway.QueryWeights = func(_ context.Context, i discovery.Instance) (OwnWord, error) {
 		asked <- i.ID
 		return OwnWord{Weights: 2}, nil
 	}
