--- a/bench/decisions/policies.go
+++ b/bench/decisions/policies.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"limpetwall/internal/coordination/movement"
+	"limpetwall/internal/coordination/contexttransfer"
 	"limpetwall/internal/coordination/routing"
 	"limpetwall/internal/state/contextkey"
 )
@@ -81,7 +81,7 @@
 func sourceOurs(w *world, r *run) (int, int) {
 	from := r.engine.hint.Resident(r.keys)
 	missing := r.keys[from:]
-	source := movement.Source{
+	source := contexttransfer.Source{
 		Pieces: len(r.keys), Resident: from, PieceBytes: pieceBytes, PrefillRate: prefillRate,
 		PrefillTokens: w.backlog(r.engine), Objective: w.site.objective,
 	}
@@ -93,7 +93,7 @@
 		source.LinkRate += store.links[r.index].Rate(w.clock()) / float64(len(missing))
 		source.LinkBacklog = max(source.LinkBacklog, store.links[r.index].Backlog())
 	}
-	p := movement.Decide(source)
+	p := contexttransfer.Decide(source)
 	return p.From, p.To - p.From
 }
 
--- a/bench/decisions/replay.go
+++ b/bench/decisions/replay.go
@@ -9,7 +9,7 @@
 	"sort"
 	"time"
 
-	"limpetwall/internal/coordination/movement"
+	"limpetwall/internal/coordination/contexttransfer"
 	"limpetwall/internal/coordination/routing"
 	"limpetwall/internal/state/config"
 	"limpetwall/internal/state/contextkey"
@@ -70,7 +70,7 @@
 	resident map[contextkey.Key]*list.Element
 	lru      *list.List
 	// hint is what the agent believes resident, from events that get lost.
-	hint *movement.Residency
+	hint *contexttransfer.Residency
 	runs int
 }
 
@@ -79,7 +79,7 @@
 	freeAt time.Duration
 	stored map[contextkey.Key]bool
 	// links hold each engine's view and upload budget.
-	links []*movement.Link
+	links []*contexttransfer.Link
 }
 
 type world struct {
@@ -119,14 +119,14 @@
 	w := &world{site: s, cond: c, policy: p, random: rand.New(rand.NewPCG(seed, 7)), seen: map[int]bool{}, returns: 0.5}
 	for i := range engines {
 		w.engines = append(w.engines, &fakeEngine{
-			id: fmt.Sprint("engine-", i), domain: fmt.Sprint("domain-", i%3), resident: map[contextkey.Key]*list.Element{}, lru: list.New(), hint: movement.NewResidency(),
+			id: fmt.Sprint("engine-", i), domain: fmt.Sprint("domain-", i%3), resident: map[contextkey.Key]*list.Element{}, lru: list.New(), hint: contexttransfer.NewResidency(),
 		})
 	}
 	for i := range 2 {
 		host := &config.StoreHost{ID: fmt.Sprint("store-", i), Domain: fmt.Sprint("domain-", i), LinkBytesPerSecond: linkRate}
 		store := &fakeStore{host: host, stored: map[contextkey.Key]bool{}}
 		for range engines {
-			store.links = append(store.links, movement.NewLink(linkRate))
+			store.links = append(store.links, contexttransfer.NewLink(linkRate))
 		}
 		w.stores, w.hosts = append(w.stores, store), append(w.hosts, host)
 	}
@@ -280,7 +280,7 @@
 }
 
 func (w *world) storeOf(key contextkey.Key) *fakeStore {
-	best := movement.Stores(w.hosts, key, 1)[0]
+	best := contexttransfer.Stores(w.hosts, key, 1)[0]
 	for _, s := range w.stores {
 		if s.host == best {
 			return s
@@ -372,7 +372,7 @@
 			continue
 		}
 		link := store.links[r.index]
-		worth := movement.Worth(movement.Copy{
+		worth := contexttransfer.Worth(contexttransfer.Copy{
 			ReturnChance: w.returns, PieceBytes: pieceBytes, PrefillRate: prefillRate, Objective: w.site.objective, LinkRate: link.Rate(w.clock()),
 		})
 		if (worth < 1 && !w.policy.always) || !link.AllowUpload(pieceBytes, engines, w.clock()) {
--- a/internal/command/agent.go
+++ b/internal/command/agent.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 
 	"limpetwall/internal/coordination/agent"
-	"limpetwall/internal/coordination/movement"
+	"limpetwall/internal/coordination/contexttransfer"
 	"limpetwall/internal/protocol/wire"
 	"limpetwall/internal/state/finding"
 	"limpetwall/internal/state/fleet"
@@ -98,7 +98,7 @@
 	var a *agent.Agent
 	if s.Engine != "" {
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Minute}}
-		a = agent.New(s.Agent, p.node, p.store, engine.NewClient(s.Engine, client), nil, movement.HTTPStore(), p.zap, p.metrics)
+		a = agent.New(s.Agent, p.node, p.store, engine.NewClient(s.Engine, client), nil, contexttransfer.HTTPStore(), p.zap, p.metrics)
 	} else {
 		a = agent.New(s.Agent, p.node, p.store, nil, plainservice.NewClient(s.Plain), nil, p.zap, p.metrics)
 	}
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -16,9 +16,9 @@
 	"go.uber.org/zap/zapcore"
 	"golang.org/x/time/rate"
 
+	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/coordination/discovery"
 	"limpetwall/internal/coordination/gateway"
-	"limpetwall/internal/coordination/kept"
 	"limpetwall/internal/coordination/lease"
 	"limpetwall/internal/coordination/quarantine"
 	"limpetwall/internal/coordination/rollout"
@@ -144,7 +144,7 @@
 	self := fleet.Member{ID: s.Platform.Host, Incarnation: uint64(time.Now().UnixNano()), Version: 1, Domain: s.Platform.Domain, Role: fleet.RoleEntry}
 	registry := metrics.NewRegistry()
 	storeClient := upstream.Dialer{Connect: connectTimeout, Silence: silence}
-	keeper := kept.New(platform.NewContextStores(&http.Transport{DialContext: storeClient.Dial, MaxIdleConnsPerHost: 2}), log, self.Domain, bootclock.Now)
+	keeper := contextcache.New(platform.NewContextStores(&http.Transport{DialContext: storeClient.Dial, MaxIdleConnsPerHost: 2}), log, self.Domain, bootclock.Now)
 	keeper.Self = hostOf(s.Platform.Clients)
 	state := discovery.NewState(self, log, time.Now(), func(t *routes.Table) {
 		p.clients.SetLimits(t.Limits)
--- a/internal/command/gateway_peers.go
+++ b/internal/command/gateway_peers.go
@@ -6,9 +6,9 @@
 
 	"go.uber.org/zap"
 
-	"limpetwall/internal/coordination/contentshare"
+	"limpetwall/internal/coordination/contentreport"
+	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/coordination/discovery"
-	"limpetwall/internal/coordination/kept"
 	"limpetwall/internal/coordination/notice"
 	"limpetwall/internal/coordination/quarantineshare"
 	"limpetwall/internal/coordination/rollout"
@@ -19,7 +19,7 @@
 )
 
 // share has this gateway tell the others what it knows, and hear what they know.
-func (p *gatewayProcess) share(self fleet.Member, store *platform.Store, watcher *discovery.Watcher, director *rollout.Director, keeper *kept.Keeper) {
+func (p *gatewayProcess) share(self fleet.Member, store *platform.Store, watcher *discovery.Watcher, director *rollout.Director, keeper *contextcache.Keeper) {
 	sharer := p.shareWork(self, store)
 	if sharer == nil {
 		return
@@ -68,7 +68,7 @@
 
 // shareContents has the gateways of the failure domain share the following of stores and
 // engines. Without, each follows all.
-func (p *gatewayProcess) shareContents(sharer *workshare.Sharer, keeper *kept.Keeper) {
+func (p *gatewayProcess) shareContents(sharer *workshare.Sharer, keeper *contextcache.Keeper) {
 	if p.settings.Platform.Contents == "" {
 		return
 	}
@@ -84,7 +84,7 @@
 		}
 		return names
 	}
-	contents := &contentshare.Sharer{Group: group, Hosts: sharer.NearHosts, Contents: keeper, Log: p.log}
+	contents := &contentreport.Sharer{Group: group, Hosts: sharer.NearHosts, Contents: keeper, Log: p.log}
 	p.run(contents.Run)
 }
 
--- a/internal/coordination/agent/agent.go
+++ b/internal/coordination/agent/agent.go
@@ -12,7 +12,7 @@
 	"github.com/rcrowley/go-metrics"
 	"go.uber.org/zap"
 
-	"limpetwall/internal/coordination/movement"
+	"limpetwall/internal/coordination/contexttransfer"
 	"limpetwall/internal/coordination/spread"
 	"limpetwall/internal/protocol/wire"
 	"limpetwall/internal/state/config"
@@ -49,7 +49,7 @@
 	plain  plainservice.Service
 	ledger *ledger.Ledger
 	// mover is nil beside a plain service.
-	mover   *movement.Mover
+	mover   *contexttransfer.Mover
 	zap     *zap.Logger
 	metrics metrics.Registry
 
@@ -74,14 +74,14 @@
 }
 
 // New returns an agent for an engine or a plain service.
-func New(cfg Config, node *spread.Node, store *config.Store, eng engine.Engine, plain plainservice.Service, open movement.OpenStore, logger *zap.Logger, registry metrics.Registry) *Agent {
+func New(cfg Config, node *spread.Node, store *config.Store, eng engine.Engine, plain plainservice.Service, open contexttransfer.OpenStore, logger *zap.Logger, registry metrics.Registry) *Agent {
 	base, cut := context.WithCancel(context.Background())
 	a := &Agent{
 		cfg: cfg, node: node, store: store, engine: eng, plain: plain, zap: logger, metrics: registry,
 		ledger: ledger.New(cfg.Ledger, node.Table().Self().Incarnation), base: base, cut: cut,
 	}
 	if eng != nil {
-		a.mover = movement.New(eng, open, store, a.engines, logger, registry)
+		a.mover = contexttransfer.New(eng, open, store, a.engines, logger, registry)
 	}
 	return a
 }
--- a/internal/coordination/agent/order_test.go
+++ b/internal/coordination/agent/order_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"limpetwall/internal/coordination/configlog"
-	"limpetwall/internal/coordination/movement"
+	"limpetwall/internal/coordination/contexttransfer"
 	"limpetwall/internal/coordination/spread"
 	"limpetwall/internal/protocol/wire"
 	"limpetwall/internal/state/config"
@@ -27,7 +27,7 @@
 	}, time.Now())
 	store := config.NewStore()
 	node := spread.New(spread.DefaultConfig(), table, store, configlog.New(standin.New()), nil, nil, zap.NewNop())
-	a := New(DefaultConfig(), node, store, eng, nil, movement.HTTPStore(), zap.NewNop(), metrics.NewRegistry())
+	a := New(DefaultConfig(), node, store, eng, nil, contexttransfer.HTTPStore(), zap.NewNop(), metrics.NewRegistry())
 	a.readStatus(t.Context())
 	return a
 }
--- a/internal/coordination/agent/run.go
+++ b/internal/coordination/agent/run.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 	"google.golang.org/protobuf/proto"
 
-	"limpetwall/internal/coordination/movement"
+	"limpetwall/internal/coordination/contexttransfer"
 	"limpetwall/internal/protocol/wire"
 	"limpetwall/internal/state/contextkey"
 	"limpetwall/internal/state/ledger"
@@ -291,14 +291,14 @@
 
 // movable describes a run to the mover. A customer or service that this agent
 // does not know yet is served without moving anything.
-func (a *Agent) movable(r *wire.RunRequest, request engine.Request, waiting int) (movement.Prompt, bool) {
+func (a *Agent) movable(r *wire.RunRequest, request engine.Request, waiting int) (contexttransfer.Prompt, bool) {
 	view := a.store.View()
 	customer, knownCustomer := view.Customers[r.GetCustomer()]
 	service, knownService := view.Services[r.GetService()]
 	a.mu.Lock()
 	status := a.status
 	a.mu.Unlock()
-	p := movement.Prompt{
+	p := contexttransfer.Prompt{
 		Customer: customer, Service: service, Keys: request.Blocks, Status: status,
 		Waiting: max(0, waiting), RequestID: request.RequestID,
 	}
--- a/internal/coordination/contentshare/sharer.go
+++ b/internal/coordination/contentreport/exchanger.go
@@ -1,4 +1,4 @@
-package contentshare
+package contentreport
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"limpetwall/internal/coordination/kept"
+	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/transport/datagram"
 	"limpetwall/internal/transport/pause"
 )
@@ -21,8 +21,8 @@
 // Contents knows what stores and engines hold.
 type Contents interface {
 	// Outgoing takes what is to be told now.
-	Outgoing() []kept.Report
-	TakeReport(kept.Report)
+	Outgoing() []contextcache.Report
+	TakeReport(contextcache.Report)
 }
 
 // Sharer exchanges reports. Its fields are set before Run.
--- a/internal/coordination/contentshare/sharer_test.go
+++ b/internal/coordination/contentreport/exchanger_test.go
@@ -1,4 +1,4 @@
-package contentshare
+package contentreport
 
 import (
 	"context"
@@ -8,32 +8,32 @@
 
 	"go.uber.org/zap"
 
-	"limpetwall/internal/coordination/kept"
+	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/transport/datagram"
 )
 
 // contents tells one report over and over, and passes on what it hears.
 type contents struct {
-	tells []kept.Report
-	heard chan kept.Report
+	tells []contextcache.Report
+	heard chan contextcache.Report
 }
 
-func (c *contents) Outgoing() []kept.Report { return c.tells }
+func (c *contents) Outgoing() []contextcache.Report { return c.tells }
 
-func (c *contents) TakeReport(r kept.Report) {
+func (c *contents) TakeReport(r contextcache.Report) {
 	select {
 	case c.heard <- r:
 	default:
 	}
 }
 
-func start(t *testing.T, host string, port uint16, other string, tells []kept.Report) (*contents, uint16) {
+func start(t *testing.T, host string, port uint16, other string, tells []contextcache.Report) (*contents, uint16) {
 	t.Helper()
 	group, err := datagram.Listen(netip.AddrPortFrom(netip.MustParseAddr(host), port))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &contents{tells: tells, heard: make(chan kept.Report, 1)}
+	c := &contents{tells: tells, heard: make(chan contextcache.Report, 1)}
 	s := &Sharer{Group: group, Hosts: func() []netip.Addr { return []netip.Addr{netip.MustParseAddr(other)} }, Contents: c, Log: zap.NewNop()}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -51,8 +51,8 @@
 // TestReportsReachTheOthers lets one of two processes tell what a store holds; bytes that are no
 // report come between.
 func TestReportsReachTheOthers(t *testing.T) {
-	report := kept.Report{Address: "10.0.0.1:1", Epoch: 3, AsOf: 5, Next: 2}
-	_, port := start(t, "127.0.0.51", 0, "127.0.0.52", []kept.Report{report})
+	report := contextcache.Report{Address: "10.0.0.1:1", Epoch: 3, AsOf: 5, Next: 2}
+	_, port := start(t, "127.0.0.51", 0, "127.0.0.52", []contextcache.Report{report})
 	hearer, _ := start(t, "127.0.0.52", port, "127.0.0.51", nil)
 	stray, err := datagram.Listen(netip.MustParseAddrPort("127.0.0.53:0"))
 	if err != nil {
--- a/internal/coordination/contentshare/format.go
+++ b/internal/coordination/contentreport/format.go
@@ -1,4 +1,4 @@
-package contentshare
+package contentreport
 
 import (
 	"net/netip"
@@ -7,7 +7,7 @@
 	"github.com/juju/errors"
 	"google.golang.org/protobuf/proto"
 
-	"limpetwall/internal/coordination/kept"
+	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/protocol/wire"
 	"limpetwall/internal/transport/datagram"
 )
@@ -31,7 +31,7 @@
 
 // encode packs reports into as few messages as hold them. A report is divided where a
 // message is full.
-func encode(reports []kept.Report) ([][]byte, error) {
+func encode(reports []contextcache.Report) ([][]byte, error) {
 	var out [][]byte
 	m := &message{}
 	flush := func() error {
@@ -64,7 +64,7 @@
 }
 
 // begin starts a report; false if the message has no room for it.
-func (m *message) begin(r kept.Report) bool {
+func (m *message) begin(r contextcache.Report) bool {
 	size := reportBytes + len(r.Address)
 	if m.size+size > datagram.MaxSize {
 		return false
@@ -75,7 +75,7 @@
 }
 
 // add adds a change to the report that was begun last; false if there is no room for it.
-func (m *message) add(r kept.Report, c kept.Change) bool {
+func (m *message) add(r contextcache.Report, c contextcache.Change) bool {
 	size := changeBytes + len(c.Part.ID)
 	salt, model := slices.Index(m.Salts, c.Part.Salt), slices.Index(m.Models, c.Model)
 	if salt < 0 {
@@ -105,12 +105,12 @@
 	return true
 }
 
-func decode(data []byte) ([]kept.Report, error) {
+func decode(data []byte) ([]contextcache.Report, error) {
 	var m wire.ContentReport
 	if err := proto.Unmarshal(data, &m); err != nil {
 		return nil, errors.Trace(err)
 	}
-	out := make([]kept.Report, 0, len(m.GetContents()))
+	out := make([]contextcache.Report, 0, len(m.GetContents()))
 	for i, contents := range m.GetContents() {
 		r, err := decodeContents(&m, contents)
 		if err != nil {
@@ -121,8 +121,8 @@
 	return out, nil
 }
 
-func decodeContents(m *wire.ContentReport, contents *wire.Contents) (kept.Report, error) {
-	r := kept.Report{Address: contents.GetAddress(), Epoch: contents.GetEpoch(), AsOf: contents.GetAsOfMs(), Next: contents.GetNext()}
+func decodeContents(m *wire.ContentReport, contents *wire.Contents) (contextcache.Report, error) {
+	r := contextcache.Report{Address: contents.GetAddress(), Epoch: contents.GetEpoch(), AsOf: contents.GetAsOfMs(), Next: contents.GetNext()}
 	if _, err := netip.ParseAddrPort(r.Address); err != nil {
 		return r, errors.WithType(err, errReport)
 	}
@@ -133,10 +133,10 @@
 		if int(c.GetSalt()) >= len(m.GetSalts()) || int(c.GetModel()) >= len(m.GetModels()) || c.GetId() == "" || c.GetBeforeNext() > uint64(r.Next) {
 			return r, errors.Annotatef(errReport, "change %d", i)
 		}
-		r.Changes = append(r.Changes, kept.Change{
+		r.Changes = append(r.Changes, contextcache.Change{
 			Number: r.Next - int64(c.GetBeforeNext()), Added: c.GetTokens() > 0,
-			Part: kept.PartKey{Salt: m.GetSalts()[c.GetSalt()], ID: c.GetId()},
-			Held: kept.Held{Tokens: int(c.GetTokens()), Model: m.GetModels()[c.GetModel()]},
+			Part: contextcache.PartKey{Salt: m.GetSalts()[c.GetSalt()], ID: c.GetId()},
+			Held: contextcache.Held{Tokens: int(c.GetTokens()), Model: m.GetModels()[c.GetModel()]},
 		})
 	}
 	return r, nil
--- a/internal/coordination/contentshare/format_test.go
+++ b/internal/coordination/contentreport/format_test.go
@@ -1,4 +1,4 @@
-package contentshare
+package contentreport
 
 import (
 	"fmt"
@@ -7,18 +7,18 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"limpetwall/internal/coordination/kept"
+	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/protocol/wire"
 	"limpetwall/internal/transport/datagram"
 )
 
 // manyReports are of some stores, with more changes than one datagram holds.
-func manyReports() []kept.Report {
-	var out []kept.Report
+func manyReports() []contextcache.Report {
+	var out []contextcache.Report
 	for i := range 5 {
-		r := kept.Report{Address: fmt.Sprintf("10.0.0.%d:8080", i), Epoch: int64(1000 + i), AsOf: 1_700_000_000_000 + int64(i), Next: 900}
+		r := contextcache.Report{Address: fmt.Sprintf("10.0.0.%d:8080", i), Epoch: int64(1000 + i), AsOf: 1_700_000_000_000 + int64(i), Next: 900}
 		for n := range 60 {
-			c := kept.Change{Number: int64(800 + n), Added: n%3 != 0, Part: kept.PartKey{Salt: fmt.Sprint("salt.", n%2), ID: fmt.Sprintf("%08x", n)}, Held: kept.Held{Model: "m"}}
+			c := contextcache.Change{Number: int64(800 + n), Added: n%3 != 0, Part: contextcache.PartKey{Salt: fmt.Sprint("salt.", n%2), ID: fmt.Sprintf("%08x", n)}, Held: contextcache.Held{Model: "m"}}
 			if c.Added {
 				c.Tokens = 100 * n
 			}
@@ -26,7 +26,7 @@
 		}
 		out = append(out, r)
 	}
-	return append(out, kept.Report{Address: "10.0.0.9:8080", Epoch: 1, Next: 1})
+	return append(out, contextcache.Report{Address: "10.0.0.9:8080", Epoch: 1, Next: 1})
 }
 
 // TestReportsAreDivided encodes more than a datagram holds: each fits, and together they say
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	joined := map[string]kept.Report{}
+	joined := map[string]contextcache.Report{}
 	for _, data := range messages {
 		if len(data) > datagram.MaxSize {
 			t.Errorf("%d bytes in a datagram", len(data))
--- a/internal/coordination/kept/share_test.go
+++ b/internal/coordination/contextcache/reports_test.go
@@ -1,4 +1,4 @@
-package kept
+package contextcache
 
 import (
 	"context"
--- a/internal/coordination/movement/mover.go
+++ b/internal/coordination/contexttransfer/mover.go
@@ -1,4 +1,4 @@
-package movement
+package contexttransfer
 
 import (
 	"context"
--- a/internal/coordination/movement/decide.go
+++ b/internal/coordination/contexttransfer/plan.go
@@ -1,7 +1,7 @@
-// Package movement decides where a returning prompt's context comes from and
+// Package contexttransfer decides where a returning prompt's context comes from and
 // moves it: resident in the engine, imported from a store host over a limited
 // link, or recomputed; and which contexts are worth a copy on a store.
-package movement
+package contexttransfer
 
 import (
 	"time"
--- a/internal/coordination/movement/movement_test.go
+++ b/internal/coordination/contexttransfer/transfer_test.go
@@ -1,4 +1,4 @@
-package movement_test
+package contexttransfer_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"github.com/rcrowley/go-metrics"
 	"go.uber.org/zap"
 
-	"limpetwall/internal/coordination/movement"
+	"limpetwall/internal/coordination/contexttransfer"
 	"limpetwall/internal/state/blockseal"
 	"limpetwall/internal/state/config"
 	"limpetwall/internal/state/contextkey"
@@ -30,36 +30,36 @@
 )
 
 func TestDecide(t *testing.T) {
-	base := movement.Source{
+	base := contexttransfer.Source{
 		Pieces: 10, StoredChance: 1, PieceBytes: 100 << 20, LinkRate: 1 << 30, PrefillRate: 8000, Objective: ttftOnly,
 	}
 	rows := []struct {
 		name   string
-		change func(s *movement.Source)
+		change func(s *contexttransfer.Source)
 		// want is the number of pieces imported; -1 means some but not all.
 		want int
 	}{
-		{"a fast link imports all", func(*movement.Source) {}, 10},
-		{"what is resident is not moved", func(s *movement.Source) { s.Resident = 7 }, 3},
-		{"nothing is missing", func(s *movement.Source) { s.Resident = 10 }, 0},
-		{"nothing is stored", func(s *movement.Source) { s.StoredChance = 0 }, 0},
-		{"the store is suspended", func(s *movement.Source) { s.LinkRate = 0 }, 0},
-		{"a link slower than the prefill moves nothing", func(s *movement.Source) { s.LinkRate = 100 << 20; s.PrefillRate = 20000 }, 0},
-		{"a slow link fills the engine's queue time only", func(s *movement.Source) {
+		{"a fast link imports all", func(*contexttransfer.Source) {}, 10},
+		{"what is resident is not moved", func(s *contexttransfer.Source) { s.Resident = 7 }, 3},
+		{"nothing is missing", func(s *contexttransfer.Source) { s.Resident = 10 }, 0},
+		{"nothing is stored", func(s *contexttransfer.Source) { s.StoredChance = 0 }, 0},
+		{"the store is suspended", func(s *contexttransfer.Source) { s.LinkRate = 0 }, 0},
+		{"a link slower than the prefill moves nothing", func(s *contexttransfer.Source) { s.LinkRate = 100 << 20; s.PrefillRate = 20000 }, 0},
+		{"a slow link fills the engine's queue time only", func(s *contexttransfer.Source) {
 			s.LinkRate, s.PrefillRate, s.PrefillTokens = 100<<20, 20000, 80000
 		}, 4},
-		{"a backlog on the link takes the free time away", func(s *movement.Source) {
+		{"a backlog on the link takes the free time away", func(s *contexttransfer.Source) {
 			s.LinkRate, s.PrefillRate, s.PrefillTokens, s.LinkBacklog = 100<<20, 20000, 80000, 400<<20
 		}, 0},
-		{"who minds recomputing imports over a slow link", func(s *movement.Source) {
+		{"who minds recomputing imports over a slow link", func(s *contexttransfer.Source) {
 			s.LinkRate, s.PrefillRate, s.Objective = 100<<20, 20000, recompute
 		}, 10},
-		{"who minds link use recomputes beside a fast link", func(s *movement.Source) { s.Objective = link }, 0},
+		{"who minds link use recomputes beside a fast link", func(s *contexttransfer.Source) { s.Objective = link }, 0},
 	}
 	for _, row := range rows {
 		s := base
 		row.change(&s)
-		p := movement.Decide(s)
+		p := contexttransfer.Decide(s)
 		if got := p.To - p.From; got != row.want || p.From != s.Resident || p.Cost > p.CostRecompute {
 			t.Errorf("%s: %+v, want %d pieces", row.name, p, row.want)
 		}
@@ -70,13 +70,13 @@
 func FuzzDecideIsBest(f *testing.F) {
 	f.Add(uint8(10), uint8(0), uint32(8000), uint32(80000), uint32(100), uint32(0), uint8(1), uint8(1), uint8(1))
 	f.Fuzz(func(t *testing.T, pieces, resident uint8, rate, waiting, linkMB, backlogMB uint32, a, b, c uint8) {
-		s := movement.Source{
+		s := contexttransfer.Source{
 			Pieces: int(pieces % 40), StoredChance: 1, PieceBytes: 100 << 20, LinkRate: float64(linkMB%5000) * (1 << 20),
 			LinkBacklog: int64(backlogMB%2000) << 20, PrefillRate: int(rate % 100_000), PrefillTokens: int(waiting % 1_000_000),
 			Objective: config.Objective{WeightTTFT: float64(a), WeightRecompute: float64(b) / 100, WeightLink: float64(c) / 100},
 		}
 		s.Resident = min(int(resident), s.Pieces)
-		p := movement.Decide(s)
+		p := contexttransfer.Decide(s)
 		if p.From != s.Resident || p.To < p.From || p.To > max(s.Pieces, s.Resident) {
 			t.Fatalf("%+v of %+v", p, s)
 		}
@@ -87,20 +87,20 @@
 }
 
 func TestWorth(t *testing.T) {
-	c := movement.Copy{ReturnChance: 0.8, PieceBytes: 100 << 20, PrefillRate: 8000, Objective: ttftOnly, LinkRate: 1 << 30}
-	if movement.Worth(c) < 1 {
-		t.Errorf("a likely return over a fast link: %g", movement.Worth(c))
+	c := contexttransfer.Copy{ReturnChance: 0.8, PieceBytes: 100 << 20, PrefillRate: 8000, Objective: ttftOnly, LinkRate: 1 << 30}
+	if contexttransfer.Worth(c) < 1 {
+		t.Errorf("a likely return over a fast link: %g", contexttransfer.Worth(c))
 	}
-	for name, change := range map[string]func(*movement.Copy){
-		"never returns":  func(c *movement.Copy) { c.ReturnChance = 0 },
-		"link too slow":  func(c *movement.Copy) { c.LinkRate = 100 << 20 },
-		"link suspended": func(c *movement.Copy) { c.LinkRate = 0 },
-		"link is dear":   func(c *movement.Copy) { c.Objective = link },
+	for name, change := range map[string]func(*contexttransfer.Copy){
+		"never returns":  func(c *contexttransfer.Copy) { c.ReturnChance = 0 },
+		"link too slow":  func(c *contexttransfer.Copy) { c.LinkRate = 100 << 20 },
+		"link suspended": func(c *contexttransfer.Copy) { c.LinkRate = 0 },
+		"link is dear":   func(c *contexttransfer.Copy) { c.Objective = link },
 	} {
 		x := c
 		change(&x)
-		if movement.Worth(x) >= 1 {
-			t.Errorf("%s: %g", name, movement.Worth(x))
+		if contexttransfer.Worth(x) >= 1 {
+			t.Errorf("%s: %g", name, contexttransfer.Worth(x))
 		}
 	}
 }
@@ -116,11 +116,11 @@
 	const contexts = 600
 	for n := range contexts {
 		root := contextkey.Key{byte(n), byte(n >> 8)}
-		two := movement.Stores(stores, root, 2)
+		two := contexttransfer.Stores(stores, root, 2)
 		if two[0].Domain == two[1].Domain {
 			t.Fatalf("both copies in %s", two[0].Domain)
 		}
-		without := movement.Stores(stores[1:], root, 1)
+		without := contexttransfer.Stores(stores[1:], root, 1)
 		if two[0] == stores[0] {
 			mine++
 		} else if without[0] != two[0] {
@@ -130,7 +130,7 @@
 	if moved != 0 || mine < contexts/12 || mine > contexts/3 {
 		t.Errorf("%d contexts of the lost store, %d others moved", mine, moved)
 	}
-	if got := movement.Stores(stores[:1], contextkey.Key{}, 2); len(got) != 1 {
+	if got := contexttransfer.Stores(stores[:1], contextkey.Key{}, 2); len(got) != 1 {
 		t.Errorf("%d stores of one", len(got))
 	}
 }
@@ -140,7 +140,7 @@
 // The agent hears of one eviction only; it must not believe in any piece that was
 // used before that one, nor give up those used after it.
 func TestLostEvents(t *testing.T) {
-	r := movement.NewResidency()
+	r := contexttransfer.NewResidency()
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	var keys []contextkey.Key
 	for i := range 10 {
@@ -169,7 +169,7 @@
 	const rate, agents, piece, seconds = 1000.0, 4, 20, 100
 	total := int64(0)
 	for range agents {
-		l := movement.NewLink(rate)
+		l := contexttransfer.NewLink(rate)
 		for ms := range seconds * 10 {
 			if l.AllowUpload(piece, agents, now.Add(time.Duration(ms)*100*time.Millisecond)) {
 				total += piece
@@ -183,7 +183,7 @@
 
 func TestLinkSuspendsAFailingStore(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	l := movement.NewLink(1000)
+	l := contexttransfer.NewLink(1000)
 	for range 3 {
 		l.Begin(10)
 		l.End(10, time.Second, false, now)
@@ -241,7 +241,7 @@
 	t       *testing.T
 	engine  *enginestandin.Engine
 	store   *kvstandin.Store
-	mover   *movement.Mover
+	mover   *contexttransfer.Mover
 	metrics metrics.Registry
 	view    *config.View
 	runs    int
@@ -268,7 +268,7 @@
 			t: t, store: kvstandin.New(1 << 30), metrics: metrics.NewRegistry(), view: store.View(),
 			engine: enginestandin.New(enginestandin.Config{Model: modelName, WeightVersion: version, Slots: 4, MaxQueue: 4, CacheBlocks: 4, PieceBytes: 1000}),
 		}
-		b.mover = movement.New(b.engine, func(string) kvstore.Store { return b.store }, store, func() int { return 1 }, zap.NewNop(), b.metrics)
+		b.mover = contexttransfer.New(b.engine, func(string) kvstore.Store { return b.store }, store, func() int { return 1 }, zap.NewNop(), b.metrics)
 		ctx, cancel := context.WithCancel(context.Background())
 		var group sync.WaitGroup
 		group.Go(func() { b.mover.ExportDuty(ctx) })
@@ -287,7 +287,7 @@
 	c := b.view.Customers[customer]
 	keys := contextkey.Chain(contextkey.Scope{Salt: c.Salt, Model: modelName, WeightVersion: version}, text)
 	status, _ := b.engine.Status(b.t.Context())
-	p := movement.Prompt{Customer: c, Service: b.view.Services["s"], Keys: keys, Status: status, RequestID: fmt.Sprint(b.runs)}
+	p := contexttransfer.Prompt{Customer: c, Service: b.view.Services["s"], Keys: keys, Status: status, RequestID: fmt.Sprint(b.runs)}
 	imported = b.mover.Prepare(b.t.Context(), p)
 	stream, err := b.engine.Generate(b.t.Context(), engine.Request{
 		RequestID: p.RequestID, Model: modelName, WeightVersion: version, Text: text, Blocks: keys, MaxTokens: 8,
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 	"golang.org/x/time/rate"
 
+	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/coordination/discovery"
-	"limpetwall/internal/coordination/kept"
 	"limpetwall/internal/coordination/quarantine"
 	"limpetwall/internal/coordination/routing"
 	"limpetwall/internal/coordination/runs"
@@ -55,7 +55,7 @@
 	// 0 sets no limit.
 	KeysValidFor time.Duration
 	// Keeper plans imports and saves of context; nil does neither.
-	Keeper *kept.Keeper
+	Keeper *contextcache.Keeper
 	// WeightQueries holds the engines that LearnDuty asks by AskWeights, see doubt; nil asks none.
 	WeightQueries *ring.Ring[string]
 	QueryWeights  WeightsOf
--- a/internal/coordination/gateway/prompt.go
+++ b/internal/coordination/gateway/prompt.go
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/coordination/discovery"
-	"limpetwall/internal/coordination/kept"
 	"limpetwall/internal/coordination/routing"
 	"limpetwall/internal/state/contextkey"
 )
@@ -23,7 +23,7 @@
 	keys []contextkey.Key
 	ends []int
 	// parts are the shared parts as their makers name them.
-	parts []kept.Part
+	parts []contextcache.Part
 	// wall separates contexts of customers that share none.
 	wall string
 }
@@ -56,7 +56,7 @@
 		tokens += part.Tokens
 		p.keys = append(p.keys, contextkey.Key(parent[:contextkey.Size]))
 		p.ends = append(p.ends, tokens)
-		p.parts = append(p.parts, kept.Part(part))
+		p.parts = append(p.parts, contextcache.Part(part))
 	}
 	p.root = binary.LittleEndian.Uint64(parent[:8])
 	return p
@@ -68,7 +68,7 @@
 	if len(p.parts) == 0 || x.g.Keeper == nil || weights == "" {
 		return
 	}
-	salt := kept.Salt(p.wall, x.call.Model, weights)
+	salt := contextcache.Salt(p.wall, x.call.Model, weights)
 	contents := x.g.Keeper.Contents(salt, p.parts)
 	r.Imports, r.HoldingsKnown = contents.Imports, contents.Informed
 	if !r.HoldingsKnown {
@@ -90,7 +90,7 @@
 	if err != nil || x.g.Keeper == nil {
 		return
 	}
-	s.Weights, s.CacheSalt = weights, kept.Salt(p.wall, x.call.Model, c.Member.Endpoint.WeightVersion)
+	s.Weights, s.CacheSalt = weights, contextcache.Salt(p.wall, x.call.Model, c.Member.Endpoint.WeightVersion)
 	plan := x.g.Keeper.Plan(s.CacheSalt, strconv.FormatUint(p.root, 36), p.parts, c.Member.Address, x.route.Objective)
 	s.ImportFrom, s.ExportTo = x.forAllParts(plan.From), x.forAllParts(plan.To)
 	if strings.Join(plan.From, "") != "" {
--- a/internal/coordination/gateway/sync.go
+++ b/internal/coordination/gateway/sync.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"limpetwall/internal/coordination/kept"
+	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/coordination/routing"
 	"limpetwall/internal/state/fleet"
 )
@@ -37,12 +37,12 @@
 	}
 	after := map[string]fleet.Incarnation{}
 	now := time.Now()
-	weights, engines, members := map[string]int64{}, map[string]kept.Engine{}, map[string]uint64{}
+	weights, engines, members := map[string]int64{}, map[string]contextcache.Engine{}, map[string]uint64{}
 	for _, i := range g.State.Instances() {
 		after[i.Address] = i.Incarnation()
 		weights[i.Model] = max(weights[i.Model], i.Weights)
 		properties := routing.Properties{Slots: i.Slots, PrefillRate: assumedPrefillRate, LinkRate: assumedLinkRate, CountsOnly: true}
-		engine := kept.Engine{Domain: i.Domain}
+		engine := contextcache.Engine{Domain: i.Domain}
 		if s := table.Services[i.Service]; s != nil && s.Engine != nil {
 			properties.MemoryTokens = s.Engine.MemoryTokens
 			engine.TokenBytes, engine.LinkBytesPerSecond = s.Engine.TokenBytes, s.Engine.LinkBytesPerSecond
--- a/internal/coordination/gateway/weights_test.go
+++ b/internal/coordination/gateway/weights_test.go
@@ -11,14 +11,14 @@
 
 	"go.uber.org/zap"
 
+	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/coordination/discovery"
-	"limpetwall/internal/coordination/kept"
 	"limpetwall/internal/state/routes"
 	"limpetwall/internal/transport/ring"
 )
 
 // newKeeper returns a keeper that knows no store.
-func newKeeper() *kept.Keeper { return kept.New(nil, zap.NewNop(), "a", time.Now) }
+func newKeeper() *contextcache.Keeper { return contextcache.New(nil, zap.NewNop(), "a", time.Now) }
 
 // TestReplacedWeightsThatDoNotBegin sends a prompt to an endpoint whose weights are
 // replaced meanwhile; it waits in the endpoint's queue.
