--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -181,19 +181,19 @@
 	p.run(watcher.Run)
 	p.run(p.gateway.Guard.Run)
 	p.gateway.IsLeader = director.Leads
-	p.gateway.WeightQueries = ring.New[string](gateway.DoubtsHeld)
-	p.gateway.QueryWeights = func(ctx context.Context, i discovery.Instance) (gateway.OwnWord, error) {
+	p.gateway.WeightQueries = ring.New[string](gateway.MaxWeightQueries)
+	p.gateway.QueryWeights = func(ctx context.Context, i discovery.Instance) (gateway.EngineReport, error) {
 		report, err := engines.Report(ctx, i)
-		return gateway.OwnWord{Born: report.Born, Weights: report.Weights[i.Model]}, err
+		return gateway.EngineReport{Born: report.Born, Weights: report.Weights[i.Model]}, err
 	}
 	if *s.MoveRuns {
 		p.gateway.Copier = engines
 	}
 	p.run(director.Run)
-	p.run(p.gateway.LearnDuty)
-	p.run(p.gateway.SyncDuty)
+	p.run(p.gateway.RunWeightQueries)
+	p.run(p.gateway.RunEndpointSync)
 	p.run(keeper.Run)
-	p.run(p.gateway.CleanDuty)
+	p.run(p.gateway.RunContextCleanup)
 	p.serveMetrics(registry)
 	return p
 }
--- a/internal/command/gateway_peers.go
+++ b/internal/command/gateway_peers.go
@@ -9,10 +9,10 @@
 	"limpetwall/internal/coordination/contentreport"
 	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/coordination/discovery"
+	"limpetwall/internal/coordination/loadreport"
 	"limpetwall/internal/coordination/notice"
 	"limpetwall/internal/coordination/quarantineshare"
 	"limpetwall/internal/coordination/rollout"
-	"limpetwall/internal/coordination/workshare"
 	"limpetwall/internal/state/fleet"
 	"limpetwall/internal/transport/datagram"
 	"limpetwall/platform"
@@ -32,7 +32,7 @@
 
 // shareWork tells the other gateways what this one has underway, and hears of theirs.
 // A gateway that can't do so serves by what endpoints say alone; nil is returned then.
-func (p *gatewayProcess) shareWork(self fleet.Member, store *platform.Store) *workshare.Sharer {
+func (p *gatewayProcess) shareWork(self fleet.Member, store *platform.Store) *loadreport.Reporter {
 	if p.settings.Platform.Peers == "" {
 		return nil
 	}
@@ -42,7 +42,7 @@
 		p.log.Error("work is not shared with other gateways", zap.Error(err))
 		return nil
 	}
-	sharer := &workshare.Sharer{
+	sharer := &loadreport.Reporter{
 		Conn: conn, Address: address, Domain: self.Domain, Incarnation: self.Incarnation,
 		Directory: p.gateway.Directory, Registry: store, Log: p.log,
 	}
@@ -52,7 +52,7 @@
 
 // shareNotices has the director tell the other gateways what it writes to the rollout lease,
 // and hear what they write. Without, all look at the lease themselves.
-func (p *gatewayProcess) shareNotices(sharer *workshare.Sharer, director *rollout.Director) {
+func (p *gatewayProcess) shareNotices(sharer *loadreport.Reporter, director *rollout.Director) {
 	if p.settings.Platform.Notices == "" {
 		return
 	}
@@ -68,7 +68,7 @@
 
 // shareContents has the gateways of the failure domain share the following of stores and
 // engines. Without, each follows all.
-func (p *gatewayProcess) shareContents(sharer *workshare.Sharer, keeper *contextcache.Keeper) {
+func (p *gatewayProcess) shareContents(sharer *loadreport.Reporter, keeper *contextcache.Keeper) {
 	if p.settings.Platform.Contents == "" {
 		return
 	}
@@ -79,18 +79,18 @@
 	}
 	keeper.Peers = func() []string {
 		var names []string
-		for _, host := range sharer.NearHosts() {
+		for _, host := range sharer.DomainHosts() {
 			names = append(names, host.String())
 		}
 		return names
 	}
-	contents := &contentreport.Sharer{Group: group, Hosts: sharer.NearHosts, Contents: keeper, Log: p.log}
+	contents := &contentreport.Sharer{Group: group, Hosts: sharer.DomainHosts, Contents: keeper, Log: p.log}
 	p.run(contents.Run)
 }
 
 // shareQuarantines tells the other gateways of requests that crash endpoints. Without, each hears of
 // quarantines from the store, and finds others itself.
-func (p *gatewayProcess) shareQuarantines(sharer *workshare.Sharer) {
+func (p *gatewayProcess) shareQuarantines(sharer *loadreport.Reporter) {
 	guard := p.gateway.Guard
 	guard.Processes = sharer.Processes
 	if p.settings.Platform.Quarantines == "" {
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -56,9 +56,9 @@
 	KeysValidFor time.Duration
 	// Keeper plans imports and saves of context; nil does neither.
 	Keeper *contextcache.Keeper
-	// WeightQueries holds the engines that LearnDuty asks by AskWeights, see doubt; nil asks none.
+	// WeightQueries holds the engines that RunWeightQueries asks by AskWeights, see doubt; nil asks none.
 	WeightQueries *ring.Ring[string]
-	QueryWeights  WeightsOf
+	QueryWeights  QueryWeightsFunc
 	// Copier copies running requests between engines; nil leaves each where it began.
 	Copier RunCopier
 	// IsLeader tells whether this process does what one process does for all.
--- a/internal/coordination/gateway/swap_test.go
+++ b/internal/coordination/gateway/reconfigure_test.go
@@ -97,7 +97,7 @@
 // Copy implements RunCopier.
 func (c *turnCopier) Copy(context.Context, discovery.Instance, string, string, bool) (string, error) {
 	if c.calls.Add(1)%4 == 3 {
-		return "", ErrNoRoom
+		return "", ErrNoCapacity
 	}
 	return "handle", nil
 }
--- a/internal/coordination/gateway/relocate.go
+++ b/internal/coordination/gateway/relocate.go
@@ -18,10 +18,10 @@
 
 // Errors of a call to copy a run.
 const (
-	// ErrNoRun: the source runs no such request; it has ended.
-	ErrNoRun = errors.ConstError("the run is not there")
-	// ErrNoRoom: the destination has no room or can't be reached.
-	ErrNoRoom = errors.ConstError("no room for the run")
+	// ErrRunNotFound: the source runs no such request; it has ended.
+	ErrRunNotFound = errors.ConstError("the run is not there")
+	// ErrNoCapacity: the destination has no room or can't be reached.
+	ErrNoCapacity = errors.ConstError("no room for the run")
 
 	// errStopped: the run was stopped for a move that failed.
 	errStopped = errors.ConstError("the run was stopped, and not moved")
@@ -32,7 +32,7 @@
 
 // RunCopier copies a running request's memory from one engine to another. With last the
 // run stops first, and its stream closes without its end; without it the run goes on
-// meanwhile. The handle names the copy; with ErrNoRoom, what the source of a stopped run keeps.
+// meanwhile. The handle names the copy; with ErrNoCapacity, what the source of a stopped run keeps.
 type RunCopier interface {
 	Copy(ctx context.Context, source discovery.Instance, call, destination string, last bool) (handle string, err error)
 	// Drop frees a copy that is not used.
@@ -158,7 +158,7 @@
 	x.g.Log.Info("run moved", zap.String("request_id", x.call.ID), zap.String("from", c.Member.ID), zap.String("to", target.Member.ID),
 		zap.Bool("done", moved), zap.Duration("took", time.Since(began)), zap.Error(err))
 	if !moved {
-		if stopOrdered && !errors.Is(err, ErrNoRun) {
+		if stopOrdered && !errors.Is(err, ErrRunNotFound) {
 			r.mayBeStopped = true
 		}
 		x.g.count("runs_moved.failed")
--- a/internal/coordination/gateway/relocate_test.go
+++ b/internal/coordination/gateway/relocate_test.go
@@ -72,8 +72,8 @@
 	}{
 		{"to load", nil, nil, func(s *discovery.State) { s.SetLoading("i-0", true) }, stream(endOfStream, "2", "3"), whole, true, 1, false},
 		{"to leave", nil, nil, leave, stream(endOfStream, "3"), whole, true, 1, false},
-		{"no room", ErrNoRoom, nil, leave, stream(endOfStream), whole, true, 0, false},
-		{"ended meanwhile", nil, ErrNoRun, leave, stream(endOfStream), whole, true, 0, false},
+		{"no room", ErrNoCapacity, nil, leave, stream(endOfStream), whole, true, 0, false},
+		{"ended meanwhile", nil, ErrRunNotFound, leave, stream(endOfStream), whole, true, 0, false},
 		{"rejected where it should go on", nil, nil, leave, reject, "12", false, 1, false},
 		{"torn where it goes on", nil, nil, leave, stream("", "3"), whole, false, 1, false},
 		{"crashed where it goes on", nil, nil, leave, func(c net.Conn, r *http.Request) { s.crash(1)(c, r); stream("", "3")(c, r) }, whole, false, 1, true},
@@ -154,9 +154,9 @@
 		last     error
 		complete bool
 	}{
-		{"stopped, the copy found no room", ErrNoRoom, false},
+		{"stopped, the copy found no room", ErrNoCapacity, false},
 		{"stop without an answer", io.ErrUnexpectedEOF, false},
-		{"ended before the stop", ErrNoRun, true},
+		{"ended before the stop", ErrRunNotFound, true},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -228,7 +228,7 @@
 func (h *hangingCopier) Copy(context.Context, discovery.Instance, string, string, bool) (string, error) {
 	close(h.asked)
 	<-h.released
-	return "", ErrNoRoom
+	return "", ErrNoCapacity
 }
 
 // TestCompleteAnswerDoesNotWaitForACopy ends a stream while its first copy hangs: the
--- a/internal/coordination/gateway/sync.go
+++ b/internal/coordination/gateway/sync.go
@@ -9,9 +9,9 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// SyncDuty keeps the directory's picture of the endpoints' fixed properties, and
+// RunEndpointSync keeps the directory's picture of the endpoints' fixed properties, and
 // the connections to them, in step with discovery until ctx ends.
-func (g *Gateway) SyncDuty(ctx context.Context) {
+func (g *Gateway) RunEndpointSync(ctx context.Context) {
 	const sweepEvery = time.Second
 	ticker := time.NewTicker(sweepEvery)
 	defer ticker.Stop()
@@ -70,9 +70,9 @@
 	return after
 }
 
-// CleanDuty frees context of replaced weights, in the process that holds the
+// RunContextCleanup frees context of replaced weights, in the process that holds the
 // rollout lease, until ctx ends.
-func (g *Gateway) CleanDuty(ctx context.Context) {
+func (g *Gateway) RunContextCleanup(ctx context.Context) {
 	const every = time.Second
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
--- a/internal/coordination/gateway/weights.go
+++ b/internal/coordination/gateway/weights.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// DoubtsHeld bounds the engines that wait to be asked; one that finds no room is named
+	// MaxWeightQueries bounds the engines that wait to be asked; one that finds no room is named
 	// again by its next rejection.
-	DoubtsHeld = 64
+	MaxWeightQueries = 64
 	// askEvery is the shortest time between two questions to one engine: each counts as a
 	// health check there, and its answer is some 100 ms old.
 	askEvery = 250 * time.Millisecond
@@ -32,8 +32,8 @@
 	}
 }
 
-// LearnDuty asks the engines in doubt until ctx ends.
-func (g *Gateway) LearnDuty(ctx context.Context) {
+// RunWeightQueries asks the engines in doubt until ctx ends.
+func (g *Gateway) RunWeightQueries(ctx context.Context) {
 	asked := map[string]time.Time{}
 	for {
 		id, err := g.WeightQueries.Pop(ctx)
@@ -73,13 +73,13 @@
 	g.State.Observe(id, told.Weights)
 }
 
-// OwnWord is what an engine says of itself when it is asked.
-type OwnWord struct {
+// EngineReport is what an engine says of itself when it is asked.
+type EngineReport struct {
 	// Born is its start, 0 if it does not say.
 	Born int64
 	// Weights is the version of its model.
 	Weights int64
 }
 
-// WeightsOf asks an engine for the version of its model.
-type WeightsOf func(ctx context.Context, i discovery.Instance) (OwnWord, error)
+// QueryWeightsFunc asks an engine for the version of its model.
+type QueryWeightsFunc func(ctx context.Context, i discovery.Instance) (EngineReport, error)
--- a/internal/coordination/gateway/weights_test.go
+++ b/internal/coordination/gateway/weights_test.go
@@ -65,11 +65,11 @@
 	s.gateway.State.SetRoutes(routes.New(2, 10, list, []routes.Service{{Name: "s", Engine: &routes.Engine{Slots: 4}}},
 		[]routes.Customer{{Name: "club", Keys: []string{"key"}}}, routes.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20}))
 	s.gateway.Keeper = newKeeper()
-	s.gateway.WeightQueries = ring.New[string](DoubtsHeld)
-	asked := make(chan string, DoubtsHeld)
-	s.gateway.QueryWeights = func(_ context.Context, i discovery.Instance) (OwnWord, error) {
+	s.gateway.WeightQueries = ring.New[string](MaxWeightQueries)
+	asked := make(chan string, MaxWeightQueries)
+	s.gateway.QueryWeights = func(_ context.Context, i discovery.Instance) (EngineReport, error) {
 		asked <- i.ID
-		return OwnWord{Weights: 2}, nil
+		return EngineReport{Weights: 2}, nil
 	}
 	prompt := func() int {
 		resp, _, err := s.ask(s.request("POST", "/r/x", "", testPart+": part"))
@@ -86,7 +86,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go s.gateway.LearnDuty(ctx)
+	go s.gateway.RunWeightQueries(ctx)
 	<-asked
 	for {
 		if i, _ := s.gateway.State.Instance("i-0"); i.Weights == 2 {
--- a/internal/coordination/workshare/format.go
+++ b/internal/coordination/loadreport/encoding.go
@@ -1,4 +1,4 @@
-package workshare
+package loadreport
 
 import (
 	"cmp"
--- a/internal/coordination/workshare/sharer.go
+++ b/internal/coordination/loadreport/reporter.go
@@ -1,4 +1,4 @@
-package workshare
+package loadreport
 
 import (
 	"context"
@@ -48,8 +48,8 @@
 	ForgetPeers(now time.Time)
 }
 
-// Sharer exchanges reports with the other processes. Its fields are set before Run.
-type Sharer struct {
+// Reporter exchanges reports with the other processes. Its fields are set before Run.
+type Reporter struct {
 	// Conn sends and receives reports; Run closes it.
 	Conn net.PacketConn
 	// Address of Conn as peers reach it.
@@ -93,7 +93,7 @@
 }
 
 // Run exchanges reports until ctx ends, and then says that this process leaves.
-func (s *Sharer) Run(ctx context.Context) {
+func (s *Reporter) Run(ctx context.Context) {
 	s.mu.Lock()
 	s.peers, s.silent = map[netip.AddrPort]*peer{}, map[netip.AddrPort]bool{}
 	s.mu.Unlock()
@@ -116,16 +116,16 @@
 }
 
 // Hosts lists the hosts of the other processes that are known, of all failure domains.
-func (s *Sharer) Hosts() []netip.Addr {
+func (s *Reporter) Hosts() []netip.Addr {
 	return s.hosts(func(*peer) bool { return true })
 }
 
-// NearHosts lists those of this process's own failure domain that have not stopped.
-func (s *Sharer) NearHosts() []netip.Addr {
+// DomainHosts lists those of this process's own failure domain that have not stopped.
+func (s *Reporter) DomainHosts() []netip.Addr {
 	return s.hosts(func(p *peer) bool { return p.domain == s.Domain && !p.left })
 }
 
-func (s *Sharer) hosts(which func(*peer) bool) []netip.Addr {
+func (s *Reporter) hosts(which func(*peer) bool) []netip.Addr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]netip.Addr, 0, len(s.peers))
@@ -138,14 +138,14 @@
 }
 
 // Processes counts the known processes, this one included.
-func (s *Sharer) Processes() int {
+func (s *Reporter) Processes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.peers) + 1
 }
 
 // report sends what is underway to the next peers in turn.
-func (s *Sharer) report(leaving bool, most int) {
+func (s *Reporter) report(leaving bool, most int) {
 	targets := s.targets(most)
 	if len(targets) == 0 {
 		return
@@ -165,7 +165,7 @@
 }
 
 // targets picks the next peers to be told.
-func (s *Sharer) targets(most int) []netip.AddrPort {
+func (s *Reporter) targets(most int) []netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -193,7 +193,7 @@
 }
 
 // forgetSilent drops the peers that say nothing; s.mu is held.
-func (s *Sharer) forgetSilent(now time.Time) {
+func (s *Reporter) forgetSilent(now time.Time) {
 	for address, p := range s.peers {
 		if p.silentFor(now) > silentAfter {
 			delete(s.peers, address)
@@ -204,7 +204,7 @@
 
 // receive takes in reports until the connection is closed. A sender that the registry
 // has not named yet is a peer from now on.
-func (s *Sharer) receive() {
+func (s *Reporter) receive() {
 	datagram.Each(s.Conn, func(data []byte, from net.Addr) {
 		report, err := decode(data)
 		if err != nil {
@@ -215,7 +215,7 @@
 	})
 }
 
-func (s *Sharer) take(r routing.PeerReport, from net.Addr) {
+func (s *Reporter) take(r routing.PeerReport, from net.Addr) {
 	now := time.Now()
 	s.Directory.TakePeer(r, now)
 	udp, ok := from.(*net.UDPAddr)
@@ -243,7 +243,7 @@
 // register enters this process in the registry and reads the others from it. Of two
 // that start together the later finds the earlier there and reports to it, so each
 // learns of the other.
-func (s *Sharer) register(ctx context.Context) {
+func (s *Reporter) register(ctx context.Context) {
 	next := settleAfter
 	for ctx.Err() == nil {
 		wait := registerPause
@@ -256,7 +256,7 @@
 	}
 }
 
-func (s *Sharer) registerOnce(ctx context.Context) error {
+func (s *Reporter) registerOnce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	own := registryKey(s.Domain, s.Address)
@@ -285,7 +285,7 @@
 }
 
 // forgetUnlisted drops the peers that only the registry spoke of, and does no more.
-func (s *Sharer) forgetUnlisted(present map[netip.AddrPort]bool) {
+func (s *Reporter) forgetUnlisted(present map[netip.AddrPort]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for address, p := range s.peers {
@@ -297,7 +297,7 @@
 
 // listed notes a peer that the registry names. True asks for the entry's removal: the
 // peer has been told of this process for long and has said nothing.
-func (s *Sharer) listed(domain string, address netip.AddrPort) (remove bool) {
+func (s *Reporter) listed(domain string, address netip.AddrPort) (remove bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.silent[address] {
@@ -312,7 +312,7 @@
 
 // drop removes an entry of a process that is gone. One that lives, and was only not
 // heard, enters itself again when it reads the registry.
-func (s *Sharer) drop(ctx context.Context, o objectapi.Object) {
+func (s *Reporter) drop(ctx context.Context, o objectapi.Object) {
 	err := s.Registry.Delete(ctx, o.Key, o.Version)
 	s.Log.Info("silent peer taken out of the registry", zap.String("key", o.Key), zap.Error(err))
 }
--- a/internal/coordination/workshare/sharer_test.go
+++ b/internal/coordination/loadreport/reporter_test.go
@@ -1,4 +1,4 @@
-package workshare
+package loadreport
 
 import (
 	"context"
@@ -64,7 +64,7 @@
 // member is one process of a test.
 type member struct {
 	*directory
-	sharer  *Sharer
+	sharer  *Reporter
 	address netip.AddrPort
 	stop    func()
 }
@@ -106,7 +106,7 @@
 func (f *fleet) start(t *testing.T, number int, domain string) *member {
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(number)}), 7701)
 	d := &directory{heard: map[uint64]routing.PeerReport{}, own: []routing.Work{{Endpoint: uint32(number), Running: 1}}}
-	s := &Sharer{
+	s := &Reporter{
 		Conn: f.network.Open(address), Address: address, Domain: domain, Incarnation: uint64(number),
 		Directory: d, Registry: f.registry, Log: zap.NewNop(),
 	}
@@ -169,7 +169,7 @@
 		f.registry.down.Store(true)
 		two.stop()
 		time.Sleep(5 * time.Second)
-		if near := one.sharer.NearHosts(); len(near) != 0 {
+		if near := one.sharer.DomainHosts(); len(near) != 0 {
 			t.Errorf("%v share work after they have stopped", near)
 		}
 		two = f.start(t, 2, "a")
