--- a/bench/capacity/weigh.go
+++ b/bench/capacity/weigh.go
@@ -58,7 +58,7 @@
 		weight("context index", "piece", many, func() any {
 			x := routing.NewIndex(many * 2)
 			for i := range many {
-				x.Store([]contextkey.Key{key(i)}, uint64(i%940)+1, time.Now())
+				x.Add([]contextkey.Key{key(i)}, uint64(i%940)+1, time.Now())
 			}
 			return x
 		}),
@@ -121,8 +121,8 @@
 
 func directory(endpoints, services int) *routing.Directory {
 	d := routing.NewDirectory(table(endpoints), configured(0, services), 100_000, 1)
-	d.TakeReports()
-	d.Usable("service-0", time.Now())
+	d.ApplyReports()
+	d.UsableMembers("service-0", time.Now())
 	return d
 }
 
@@ -143,9 +143,9 @@
 			r := &routing.Request{PromptTokens: 9000, Objective: objective, Domain: "domain-0"}
 			for i := 0; b.Loop(); i++ {
 				keys[0] = key(i % 1000)
-				r.Now, r.Root = now, routing.RootOf(keys, "")
+				r.Now, r.PlacementHash = now, routing.PlacementHash(keys, "")
 				c := d.Choose("service-0", keys, r)
-				d.Started(c, 0, 0, now)
+				d.RecordCachedTokens(c, 0, 0, now)
 				d.Done(c, false, now)
 			}
 		}))
--- a/bench/decisions/policies.go
+++ b/bench/decisions/policies.go
@@ -51,21 +51,21 @@
 }
 
 func chooseHash(_ *world, _ int, keys []contextkey.Key) (int, func(int, int)) {
-	return int(routing.RootOf(keys, "") % engines), nothing
+	return int(routing.PlacementHash(keys, "") % engines), nothing
 }
 
 // chooseOurs asks the product's directory of the entry.
 func chooseOurs(w *world, entry int, keys []contextkey.Key) (int, func(int, int)) {
 	d := w.dirs[entry]
 	r := &routing.Request{
-		Root: routing.RootOf(keys, ""), PromptTokens: len(keys)*contextkey.PieceTokens + newTokens,
+		PlacementHash: routing.PlacementHash(keys, ""), PromptTokens: len(keys)*contextkey.PieceTokens + newTokens,
 		Objective: w.site.objective, Domain: w.tables[entry].Self().Domain, Now: w.clock(),
 	}
 	c := d.Choose("s", keys, r)
 	index := int(c.Member.Incarnation) - 1
 	return index, func(cached, imported int) {
-		d.Started(c, cached*contextkey.PieceTokens, imported*contextkey.PieceTokens, w.clock())
-		d.Observe(c, w.loadOf(index), w.clock())
+		d.RecordCachedTokens(c, cached*contextkey.PieceTokens, imported*contextkey.PieceTokens, w.clock())
+		d.ObserveLoad(c, w.loadOf(index), w.clock())
 		d.Done(c, false, w.clock())
 	}
 }
--- a/bench/decisions/replay.go
+++ b/bench/decisions/replay.go
@@ -165,7 +165,7 @@
 			for i := range w.engines {
 				table.SetReport(fleet.Report{Incarnation: uint64(i + 1), Version: version, Load: loads[i], At: w.clock()})
 			}
-			w.dirs[n].TakeReports()
+			w.dirs[n].ApplyReports()
 		}
 	})
 	if w.requests > 0 {
--- a/internal/coordination/contextcache/plan.go
+++ b/internal/coordination/contextcache/plan.go
@@ -44,7 +44,7 @@
 type Contents struct {
 	// Imports tells of each part whether it can be brought to an engine, and from where
 	// Plan would bring it.
-	Imports []routing.Import
+	Imports []routing.Segment
 	// Resident lists the engines that keep the beginning.
 	Resident []Resident
 	// Informed tells whether the memory of most engines of this failure domain is known, so
@@ -64,11 +64,11 @@
 }
 
 // imports needs k.mu.
-func (k *Keeper) imports(salt string, parts []Part, resident []Resident, now time.Time) []routing.Import {
-	out := make([]routing.Import, 0, len(parts))
+func (k *Keeper) imports(salt string, parts []Part, resident []Resident, now time.Time) []routing.Segment {
+	out := make([]routing.Segment, 0, len(parts))
 	_, engine := holders(resident, "")
 	for n, p := range parts {
-		out = append(out, routing.Import{Tokens: p.Tokens})
+		out = append(out, routing.Segment{Tokens: p.Tokens})
 		if !k.clockKnown {
 			continue
 		}
@@ -77,7 +77,7 @@
 			source = k.stores[k.holderOf(PartKey{salt, p.ID}, p.Tokens, now)]
 		}
 		if source != nil {
-			out[n].Stored, out[n].Domain, out[n].Time = true, source.config.Domain, source.transfer(p.Tokens, k.tokenBytes)
+			out[n].Stored, out[n].Domain, out[n].TransferTime = true, source.config.Domain, source.transfer(p.Tokens, k.tokenBytes)
 		}
 	}
 	return out
--- a/internal/coordination/contextcache/store.go
+++ b/internal/coordination/contextcache/store.go
@@ -153,7 +153,7 @@
 	if rate <= 0 {
 		return 0
 	}
-	return s.config.FirstByte + time.Duration(float64(tokens)*float64(tokenBytes)/float64(rate)*float64(time.Second))
+	return s.config.TransferLatency + time.Duration(float64(tokens)*float64(tokenBytes)/float64(rate)*float64(time.Second))
 }
 
 // holds tells whether a part is whole in the store.
--- a/internal/coordination/contextcache/tracker_test.go
+++ b/internal/coordination/contextcache/tracker_test.go
@@ -400,7 +400,7 @@
 		t.Errorf("%q", p.From)
 	}
 	imports := k.Contents("s.1", parts).Imports
-	if len(imports) != 2 || !imports[1].Stored || imports[1].Domain != "b" || imports[1].Time != 1500*time.Millisecond {
+	if len(imports) != 2 || !imports[1].Stored || imports[1].Domain != "b" || imports[1].TransferTime != 1500*time.Millisecond {
 		t.Errorf("%+v", imports)
 	}
 }
--- a/internal/coordination/entry/entry.go
+++ b/internal/coordination/entry/entry.go
@@ -113,7 +113,7 @@
 		case <-ctx.Done():
 			return
 		}
-		e.Directory.TakeReports()
+		e.Directory.ApplyReports()
 		e.kickQueues()
 		// Who is live changes only with the table: walking it each time would cost
 		// thousands of rows a second in a large fleet.
--- a/internal/coordination/gateway/attempt.go
+++ b/internal/coordination/gateway/attempt.go
@@ -259,6 +259,6 @@
 		g.State.Observe(c.Member.ID, r.Weights)
 	}
 	if r.HasLoad {
-		g.Directory.Observe(c, loadOf(r.Load), time.Now())
+		g.Directory.ObserveLoad(c, loadOf(r.Load), time.Now())
 	}
 }
--- a/internal/coordination/gateway/ending.go
+++ b/internal/coordination/gateway/ending.go
@@ -51,7 +51,7 @@
 		return x.final(last, sent)
 	}
 	message := "no endpoint of the service is known"
-	if why == routing.RefuseFull {
+	if why == routing.RefusalAllFull {
 		message = "all endpoints of the service are full"
 	}
 	return notRun(apierror.CodeNoEndpoint, message)
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -276,11 +276,11 @@
 		return x.unknown(http.StatusNotFound, apierror.CodeNotFound, "no route leads there")
 	}
 	x.route = route
-	if x.table.Keyed && !route.Public {
+	if x.table.KeysRequired && !route.Public {
 		if x.g.keysOutdated() {
 			return notYet("keys may have been taken away since the store last answered")
 		}
-		x.customer, ok = x.table.Owner(x.call.Key)
+		x.customer, ok = x.table.CustomerOf(x.call.Key)
 		if !ok {
 			return x.unknown(http.StatusUnauthorized, apierror.CodeUnauthorized, "the API key is not known")
 		}
--- a/internal/coordination/gateway/prompt.go
+++ b/internal/coordination/gateway/prompt.go
@@ -70,7 +70,7 @@
 	}
 	salt := contextcache.Salt(p.wall, x.call.Model, weights)
 	contents := x.g.Keeper.Contents(salt, p.parts)
-	r.Imports, r.HoldingsKnown = contents.Imports, contents.Informed
+	r.Segments, r.HoldingsKnown = contents.Imports, contents.Informed
 	if !r.HoldingsKnown {
 		return
 	}
--- a/internal/coordination/gateway/relocate.go
+++ b/internal/coordination/gateway/relocate.go
@@ -175,8 +175,8 @@
 	held := x.call.PromptTokens + x.call.OutputTokens
 	target := x.g.Directory.Choose(x.service.Name, nil, &routing.Request{
 		// The run's memory comes with it: no prompt is read there.
-		HeldTokens: held, UsualTokens: held, HoldingsKnown: true, ImportKnown: true, RootKnown: true,
-		Domain: x.g.Domain, OtherDomainPrice: otherDomainPrice, Urgency: x.urgency(), Objective: config.Objective{WeightTTFT: 1},
+		HeldTokens: held, MeanHeldTokens: held, HoldingsKnown: true, SegmentsKnown: true, PlacementHashKnown: true,
+		Domain: x.g.Domain, CrossDomainPenalty: otherDomainPrice, Urgency: x.urgency(), Objective: config.Objective{WeightTTFT: 1},
 		WeightVersion: c.Member.Endpoint.WeightVersion, Now: time.Now(),
 		// One whose turn to load comes soon would have to pass the run on, or refuse it.
 		Exclude: append(x.g.State.LoadNext(c.Member.ID), c.Member.ID),
@@ -185,7 +185,7 @@
 		return target
 	}
 	left, limited := x.g.State.BeginLeft(target.Member.ID)
-	if target.Room > mostWait || (limited && left < shortestLeft) {
+	if target.CapacityWait > mostWait || (limited && left < shortestLeft) {
 		x.g.Directory.Release(target)
 		return routing.Choice{}
 	}
--- a/internal/coordination/gateway/run.go
+++ b/internal/coordination/gateway/run.go
@@ -54,7 +54,7 @@
 func (x *exchange) attempts(ctx context.Context) ending {
 	request := x.routingRequest()
 	prompt := x.promptContext()
-	request.Root, request.RootKnown, request.Ends = prompt.root, true, prompt.ends
+	request.PlacementHash, request.PlacementHashKnown, request.ChunkEnds = prompt.root, true, prompt.ends
 	x.know(request, prompt)
 	var last outcome
 	sent, unreached := 0, 0
@@ -143,7 +143,7 @@
 		return nil
 	}
 	ok, after := admission.Accept(admission.Prospect{
-		Wait: c.Wait, First: c.TTFT, Objective: x.route.Objective, Left: x.left(), Rank: x.table.Rank(x.priority(), x.service.Name),
+		Wait: c.Wait, First: c.TTFT, Objective: x.route.Objective, Left: x.left(), Rank: x.table.PriorityRank(x.priority(), x.service.Name),
 	})
 	if ok {
 		return nil
@@ -182,7 +182,7 @@
 		return unreached < maxUnreached
 	case rejected:
 	case answeredFailure, broken:
-		if !x.route.Repeatable() && !resumable {
+		if !x.route.IsRepeatable() && !resumable {
 			return false
 		}
 	default:
@@ -205,8 +205,8 @@
 		Endpoint: c.Member.ID, Reason: string(c.Reason), Outcome: o.verdict.String(), TookMS: now.Sub(started).Milliseconds(),
 		Weights: c.Member.Endpoint.WeightVersion, ExpectedMS: c.TTFT.Milliseconds(), CachedTokens: c.CachedTokens,
 		Imported: strings.Join(sent.ImportFrom, ","), Saved: strings.Join(sent.ExportTo, ","),
-		Running: c.Believed.Running, Queued: c.Believed.Queued, Sent: c.Believed.Sent, Own: c.Believed.Own,
-		LoadAgeMS: c.Believed.LoadAge.Milliseconds(), PeerRunning: c.Believed.PeerRunning, PeerUnread: c.Believed.PeerUnread,
+		Running: c.LoadSnapshot.Running, Queued: c.LoadSnapshot.Queued, Sent: c.LoadSnapshot.Sent, Own: c.LoadSnapshot.Own,
+		LoadAgeMS: c.LoadSnapshot.LoadAge.Milliseconds(), PeerRunning: c.LoadSnapshot.PeerRunning, PeerUnread: c.LoadSnapshot.PeerUnread,
 	}
 	t.Reused, t.Answered = x.connection.Reused, x.connection.Answered
 	if x.firstEvent.After(started) {
@@ -238,9 +238,9 @@
 	}
 	switch o.verdict {
 	case notReached:
-		g.Directory.Unreachable(c, now)
+		g.Directory.DoneUnreachable(c, now)
 	case rejected:
-		g.Directory.Refused(c, now)
+		g.Directory.DoneRefused(c, now)
 	case broken, answeredFailure, timedOut:
 		g.Directory.Done(c, true, now)
 	case movedOn, callerGone, stopped, calledBack:
@@ -257,8 +257,8 @@
 		usual = x.g.sizes.take(x.route.Name, held)
 	}
 	return &routing.Request{
-		PromptTokens: x.call.PromptTokens, Domain: x.g.Domain, HeldTokens: held, UsualTokens: usual,
-		ImportKnown: true, Urgency: x.urgency(), OtherDomainPrice: otherDomainPrice,
+		PromptTokens: x.call.PromptTokens, Domain: x.g.Domain, HeldTokens: held, MeanHeldTokens: usual,
+		SegmentsKnown: true, Urgency: x.urgency(), CrossDomainPenalty: otherDomainPrice,
 		Objective: config.Objective{
 			TTFTMS: int(x.route.Objective.Milliseconds()), WeightTTFT: 1, WeightRecompute: recomputeWeight, WeightLink: linkWeight,
 		},
--- a/internal/coordination/gateway/stream.go
+++ b/internal/coordination/gateway/stream.go
@@ -55,7 +55,7 @@
 	if resp.Status != http.StatusOK || isDocument(resp.Header) {
 		return x.takeAnswer(ctx, resp)
 	}
-	x.g.Directory.Sent(c, x.began)
+	x.g.Directory.RecordSent(c, x.began)
 	x.relocation = x.watchRelocation(ctx, stop, c, s)
 	out = x.relay(ctx, c, resp)
 	next, moved := x.relocation.outcome()
@@ -119,7 +119,7 @@
 		if x.firstEvent.IsZero() {
 			x.firstEvent = time.Now()
 			x.begun()
-			x.g.Directory.Begun(c, x.firstEvent)
+			x.g.Directory.RecordFirstToken(c, x.firstEvent)
 			if !x.wrote {
 				metrics.GetOrRegisterTimer("gateway.first_event", x.g.Metrics).UpdateSince(x.began)
 			}
--- a/internal/coordination/gateway/sync.go
+++ b/internal/coordination/gateway/sync.go
@@ -51,7 +51,7 @@
 			engines[i.Address] = engine
 			members[i.Address] = routing.HashID(i.ID)
 		}
-		g.Directory.Describe(i.ID, properties, now)
+		g.Directory.SetProperties(i.ID, properties, now)
 	}
 	// A request that finds the weights known reads the engines: in the other order one
 	// that comes between the two would find none, and its connection would break.
--- a/internal/coordination/loadreport/encoding.go
+++ b/internal/coordination/loadreport/encoding.go
@@ -60,7 +60,7 @@
 	r := routing.PeerReport{Sender: m.GetIncarnation(), Number: m.GetNumber(), Domain: m.GetDomain(), Leaving: m.GetLeaving()}
 	for _, w := range m.GetWork() {
 		work := routing.Work{Endpoint: w.GetEndpoint(), Running: int(w.GetRunning()), HeldTokens: int(w.GetHeldTokens()) * tokenUnit}
-		for urgency, tokens := range w.GetUnreadTokens()[:min(len(w.GetUnreadTokens()), routing.Urgencies)] {
+		for urgency, tokens := range w.GetUnreadTokens()[:min(len(w.GetUnreadTokens()), routing.UrgencyLevels)] {
 			work.Unread[urgency] = int(tokens) * tokenUnit
 		}
 		r.Work = append(r.Work, work)
--- a/internal/coordination/routing/directory.go
+++ b/internal/coordination/routing/directory.go
@@ -69,7 +69,7 @@
 		for _, m := range members {
 			if intent := firstUsable(intents, m); intent != nil {
 				d.services[service] = append(d.services[service], Endpoint{
-					Member: m, Hash: HashID(m.ID), MaxConcurrent: intent.MaxConcurrent, Dynamic: &d.track(m, now).Dynamic,
+					Member: m, Hash: HashID(m.ID), MaxConcurrent: intent.MaxConcurrent, RuntimeState: &d.track(m, now).RuntimeState,
 				})
 			}
 		}
@@ -107,11 +107,11 @@
 	if !ok || t.incarnation != m.Incarnation {
 		if ok {
 			// An endpoint that has started anew holds nothing of what it was sent.
-			d.index.Forget(HashID(m.ID))
+			d.index.RemoveEndpoint(HashID(m.ID))
 		}
-		t = &tracked{incarnation: m.Incarnation, domain: m.Domain, Dynamic: Dynamic{
-			FirstSeen: now, PeerWork: d.workAt(WorkID(m.ID, m.Incarnation)), Shared: d.heardFrom[m.Domain] > 0,
-			AllRates: d.ratesOf(m.Endpoint.Model),
+		t = &tracked{incarnation: m.Incarnation, domain: m.Domain, RuntimeState: RuntimeState{
+			FirstSeen: now, PeerWork: d.workAt(WorkID(m.ID, m.Incarnation)), HasPeerReports: d.heardFrom[m.Domain] > 0,
+			ModelRate: d.ratesOf(m.Endpoint.Model),
 		}}
 		if len(d.dynamic) == 0 || d.generation == 0 {
 			// What this entry finds at its own start is not new to the fleet.
@@ -155,8 +155,8 @@
 	}
 }
 
-// TakeReports takes in load reports that came through the fleet.
-func (d *Directory) TakeReports() {
+// ApplyReports takes in load reports that came through the fleet.
+func (d *Directory) ApplyReports() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id, t := range d.dynamic {
@@ -183,8 +183,8 @@
 	CountsOnly bool
 }
 
-// Describe tells an endpoint's properties.
-func (d *Directory) Describe(member string, p Properties, now time.Time) {
+// SetProperties tells an endpoint's properties.
+func (d *Directory) SetProperties(member string, p Properties, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refresh(now)
@@ -199,9 +199,9 @@
 	}
 }
 
-// Observe takes in a load that came along with a choice's answer. That of an endpoint that
+// ObserveLoad takes in a load that came along with a choice's answer. That of an endpoint that
 // has started anew meanwhile says nothing of the present start.
-func (d *Directory) Observe(c Choice, load fleet.Load, now time.Time) {
+func (d *Directory) ObserveLoad(c Choice, load fleet.Load, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if t := d.open(c); t != nil {
@@ -214,19 +214,19 @@
 	Member     fleet.Member
 	Reason     Reason
 	TTFT, Wait time.Duration
-	// Room is the part of Wait that is for a slot and memory.
-	Room         time.Duration
+	// CapacityWait is the part of Wait that is for a slot and memory.
+	CapacityWait time.Duration
 	CachedTokens int
 	Refusal      Refusal
-	// Believed is what the decision took the endpoint's state to be.
-	Believed Belief
-	holding  Holding
-	keys     []contextkey.Key
-	hash     uint64
-	seen     bool
-	held     int
-	began    time.Time
-	reading  *reading
+	// LoadSnapshot is what the decision took the endpoint's state to be.
+	LoadSnapshot LoadSnapshot
+	holding      Holding
+	keys         []contextkey.Key
+	hash         uint64
+	seen         bool
+	held         int
+	began        time.Time
+	reading      *reading
 }
 
 // reading is a run's prompt until its answer begins.
@@ -245,28 +245,28 @@
 	d.refresh(r.Now)
 	var space [holders + 1]Holding
 	if !r.HoldingsKnown {
-		r.Holdings = d.index.Lookup(keys, r.Ends, r.Now, space[:0])
+		r.Holdings = d.index.Lookup(keys, r.ChunkEnds, r.Now, space[:0])
 	}
 	seen := len(r.Holdings) > 0
-	if !r.ImportKnown {
-		r.ImportChance = d.index.ImportChance(seen)
+	if !r.SegmentsKnown {
+		r.ImportShare = d.index.ImportShare(seen)
 	}
-	r.ContextTokens, r.KnownTokens, r.Gap = tokensTo(r.Ends, len(keys)), 0, 0
+	r.ContextTokens, r.KnownTokens, r.KnownAge = tokensTo(r.ChunkEnds, len(keys)), 0, 0
 	for _, h := range r.Holdings {
 		if h.Tokens > r.KnownTokens {
-			r.KnownTokens, r.Gap = h.Tokens, h.Age
+			r.KnownTokens, r.KnownAge = h.Tokens, h.Age
 		}
 	}
-	if len(keys) > 0 && !r.RootKnown {
-		root := d.index.Root(keys)
-		r.Root = RootOf([]contextkey.Key{root}, "")
+	if len(keys) > 0 && !r.PlacementHashKnown {
+		root := d.index.PlacementKey(keys)
+		r.PlacementHash = PlacementHash([]contextkey.Key{root}, "")
 	}
 	if list := d.services[service]; len(list) > 0 && !r.HoldingsKnown {
-		home := homesOf(list, r.Root)[0].Hash
-		r.Holdings = d.index.AddHome(home, r.ContextTokens, r.Holdings)
+		home := homesOf(list, r.PlacementHash)[0].Hash
+		r.Holdings = d.index.AddPreferred(home, r.ContextTokens, r.Holdings)
 	}
-	if r.OtherDomainPrice > 0 {
-		r.Near = d.near[service]
+	if r.CrossDomainPenalty > 0 {
+		r.Local = d.near[service]
 	}
 	v := Decide(d.services[service], r, d.random)
 	if v.Endpoint == nil {
@@ -280,8 +280,8 @@
 	e.Unread[r.Urgency] += v.WorkTokens
 	d.dynamic[e.ID].sent(v.WorkTokens, r.Now)
 	c := Choice{
-		Member: e.Member, Reason: v.Reason, TTFT: v.TTFT, Wait: v.Wait, Room: v.Room, CachedTokens: v.CachedTokens, keys: keys, hash: e.Hash, seen: seen,
-		held: r.HeldTokens, began: r.Now, Believed: believed, reading: read,
+		Member: e.Member, Reason: v.Reason, TTFT: v.TTFT, Wait: v.Wait, CapacityWait: v.CapacityWait, CachedTokens: v.CachedTokens, keys: keys, hash: e.Hash, seen: seen,
+		held: r.HeldTokens, began: r.Now, LoadSnapshot: believed, reading: read,
 	}
 	for _, h := range r.Holdings {
 		if h.Endpoint == e.Hash {
@@ -291,19 +291,19 @@
 	return c
 }
 
-// Started tells what the engine found for a choice: cached tokens in all, and
+// RecordCachedTokens tells what the engine found for a choice: cached tokens in all, and
 // those of them that were imported for it.
-func (d *Directory) Started(c Choice, cachedTokens, importedTokens int, now time.Time) {
+func (d *Directory) RecordCachedTokens(c Choice, cachedTokens, importedTokens int, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	resident := cachedTokens - importedTokens
-	d.index.Learn(c.holding, resident)
-	d.index.LearnImport(c.seen, len(c.keys)*contextkey.PieceTokens-resident, importedTokens)
-	d.index.Store(c.keys, c.hash, now)
+	d.index.ObserveHit(c.holding, resident)
+	d.index.ObserveImport(c.seen, len(c.keys)*contextkey.PieceTokens-resident, importedTokens)
+	d.index.Add(c.keys, c.hash, now)
 }
 
-// Usable lists the members that a service may use now.
-func (d *Directory) Usable(service string, now time.Time) []fleet.Member {
+// UsableMembers lists the members that a service may use now.
+func (d *Directory) UsableMembers(service string, now time.Time) []fleet.Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refresh(now)
--- a/internal/coordination/routing/domain_test.go
+++ b/internal/coordination/routing/domain_test.go
@@ -7,7 +7,7 @@
 func TestOwnDomainUnlessItWaits(t *testing.T) {
 	e, r := endpoints(2), request()
 	e[0].Domain = "far"
-	r.OtherDomainPrice = 0.02
+	r.CrossDomainPenalty = 0.02
 	for range 20 {
 		if v := Decide(e, r, random()); v.Endpoint.ID != e[1].ID {
 			t.Fatal("an idle endpoint of the own domain was passed over")
--- a/internal/coordination/routing/estimate.go
+++ b/internal/coordination/routing/estimate.go
@@ -45,7 +45,7 @@
 		}
 	}
 	if e.Domain != r.Domain {
-		best.score += r.OtherDomainPrice
+		best.score += r.CrossDomainPenalty
 	}
 	if e.avoided(r.Now) {
 		best.score += ejectedScore
@@ -61,11 +61,11 @@
 // importable is how many of the tokens behind the cached ones stores hold without a
 // gap: an engine reads everything behind one.
 func (r *Request) importable(cached int) int {
-	if !r.ImportKnown {
-		return int(r.ImportChance * float64(r.PromptTokens-cached))
+	if !r.SegmentsKnown {
+		return int(r.ImportShare * float64(r.PromptTokens-cached))
 	}
 	end, tokens := 0, 0
-	for _, i := range r.Imports {
+	for _, i := range r.Segments {
 		end += i.Tokens
 		if end <= cached {
 			continue
@@ -107,17 +107,17 @@
 
 // transferTime is how long the moved tokens behind the cached ones take to an endpoint.
 func (r *Request) transferTime(e *Endpoint, cached, moved int) time.Duration {
-	if !r.ImportKnown {
+	if !r.SegmentsKnown {
 		return seconds(float64(moved) / float64(e.Load.LinkRate))
 	}
 	total, begin := time.Duration(0), 0
-	for _, i := range r.Imports {
+	for _, i := range r.Segments {
 		missing := min(begin+i.Tokens, cached+moved) - max(begin, cached)
 		begin += i.Tokens
 		if missing <= 0 {
 			continue
 		}
-		took := time.Duration(float64(i.Time) * float64(missing) / float64(i.Tokens))
+		took := time.Duration(float64(i.TransferTime) * float64(missing) / float64(i.Tokens))
 		if i.Domain != e.Domain {
 			took *= otherDomainTransfer
 		}
@@ -133,8 +133,8 @@
 func (r *Request) insertion(cached int) float64 {
 	known := max(0, r.KnownTokens-cached)
 	fresh := max(0, r.ContextTokens-max(cached, r.KnownTokens))
-	price := evictionPrice * (float64(fresh) + float64(known)*min(1, float64(r.Gap)/float64(longGap)))
-	if r.ImportKnown && r.ContextTokens > 0 {
+	price := evictionPrice * (float64(fresh) + float64(known)*min(1, float64(r.KnownAge)/float64(longGap)))
+	if r.SegmentsKnown && r.ContextTokens > 0 {
 		// What is pushed out comes back by import instead of computation, as far as
 		// stores hold as much of other contexts as of this one.
 		price *= 1 - importSaves*float64(min(r.importable(0), r.ContextTokens))/float64(r.ContextTokens)
@@ -169,7 +169,7 @@
 
 func (e *Endpoint) rate() float64 {
 	if e.Load.PrefillRate > 0 {
-		return e.AllRates.rate(float64(e.Load.PrefillRate), e.RatesSeen)
+		return e.ModelRate.rate(float64(e.Load.PrefillRate), e.RateSamples)
 	}
 	return defaultPrefillRate
 }
@@ -181,10 +181,10 @@
 		return e.Load.QueuedTokens + e.SentTokens
 	}
 	own := sum(e.Unread[:urgency+1])
-	if e.Shared {
+	if e.HasPeerReports {
 		return own + sum(e.PeerWork.Unread[:urgency+1])
 	}
-	return int(max(1, e.Peers) * float64(own))
+	return int(max(1, e.PeerFactor) * float64(own))
 }
 
 func sum(list []int) int {
@@ -202,11 +202,11 @@
 // busy is how many requests the endpoint has, as far as this entry knows.
 func (e *Endpoint) busy(now time.Time) int {
 	reported := e.Load.Running + e.Load.Queued + e.SentRuns
-	if !e.Shared {
+	if !e.HasPeerReports {
 		return max(e.Running, reported)
 	}
 	counted := e.Running + e.PeerWork.Running
-	if now.Sub(e.LoadAt) > loadFresh {
+	if now.Sub(e.LoadArrivedAt) > loadFresh {
 		return counted
 	}
 	return max(counted, reported)
@@ -247,16 +247,16 @@
 // 0.46 of all were, and on 14 of 24 overloaded days less than half as many of them as of all;
 // with the usual size on 2.
 func (r *Request) usual() int {
-	if r.UsualTokens == 0 {
+	if r.MeanHeldTokens == 0 {
 		return r.HeldTokens
 	}
-	return r.UsualTokens
+	return r.MeanHeldTokens
 }
 
 // heldTokens is what all runs take of an engine's memory. Where others do not tell,
 // their runs are taken to be like this entry's own.
 func (e *Endpoint) heldTokens(r *Request) int {
-	if e.Shared {
+	if e.HasPeerReports {
 		return e.HeldTokens + e.PeerWork.HeldTokens
 	}
 	each := r.HeldTokens
--- a/internal/coordination/routing/holders_test.go
+++ b/internal/coordination/routing/holders_test.go
@@ -16,7 +16,7 @@
 	random := random()
 	for n := range 200 {
 		r := request()
-		r.Near, r.HoldingsKnown, r.Root = all, true, uint64(n)
+		r.Local, r.HoldingsKnown, r.PlacementHash = all, true, uint64(n)
 		for i := range all {
 			h := Holding{Endpoint: all[i].Hash, Tokens: 500, Chance: 1}
 			if i == whole {
@@ -24,7 +24,7 @@
 			}
 			r.Holdings = append(r.Holdings, h)
 		}
-		if v := Decide(all, r, random); v.Endpoint.ID != all[whole].ID || v.Reason != ReasonHolds {
+		if v := Decide(all, r, random); v.Endpoint.ID != all[whole].ID || v.Reason != ReasonHoldsContext {
 			t.Fatalf("decision %d: %s, %s", n, v.Endpoint.ID, v.Reason)
 		}
 	}
@@ -46,7 +46,7 @@
 	const prompts = 720
 	for n := range prompts {
 		r := request()
-		r.Near, r.HoldingsKnown, r.Root = all, true, uint64(n)*1_000_003
+		r.Local, r.HoldingsKnown, r.PlacementHash = all, true, uint64(n)*1_000_003
 		for i := range all {
 			r.Holdings = append(r.Holdings, Holding{Endpoint: all[i].Hash, Tokens: 500, Chance: 1})
 		}
@@ -71,19 +71,19 @@
 	d, table := directoryOf(t, count)
 	now := epoch
 	for _, m := range table.Members() {
-		d.Describe(m.ID, Properties{PrefillRate: assumed, CountsOnly: true, Slots: 64}, now)
+		d.SetProperties(m.ID, Properties{PrefillRate: assumed, CountsOnly: true, Slots: 64}, now)
 	}
 	const tokens = 10_000
 	choose := func(root uint64) Choice {
 		return d.Choose("s", nil, &Request{
-			PromptTokens: tokens, ImportKnown: true, HoldingsKnown: true, Root: mix(root), RootKnown: true, Now: now, Domain: "d",
+			PromptTokens: tokens, SegmentsKnown: true, HoldingsKnown: true, PlacementHash: mix(root), PlacementHashKnown: true, Now: now, Domain: "d",
 		})
 	}
 	for n := range 60 {
 		now = now.Add(200 * time.Millisecond)
 		c := choose(uint64(n))
 		took := time.Duration(float64(c.reading.tokens+c.reading.queued) / real * float64(time.Second))
-		d.Begun(c, now.Add(took))
+		d.RecordFirstToken(c, now.Add(took))
 		d.Done(c, false, now.Add(took))
 	}
 	expected := choose(61).TTFT
--- a/internal/coordination/routing/index.go
+++ b/internal/coordination/routing/index.go
@@ -106,11 +106,11 @@
 	keptBranches = 20_000
 )
 
-// Root names a context for computed placement: its first piece that is not
+// PlacementKey names a context for computed placement: its first piece that is not
 // shared by many contexts. With the first piece of all, every conversation that
 // begins with the same long instructions would have the same home. Entries learn
 // which pieces are shared each for itself; they agree after a few prompts.
-func (x *Index) Root(keys []contextkey.Key) contextkey.Key {
+func (x *Index) PlacementKey(keys []contextkey.Key) contextkey.Key {
 	for i := range len(keys) - 1 {
 		b := x.branches[keys[i]]
 		if b.last != keys[i+1] && b.count < sharedFrom {
@@ -127,15 +127,15 @@
 	return keys[len(keys)-1]
 }
 
-// AddHome appends the expectation that a context's home holds it. All entries
+// AddPreferred appends the expectation that a context's home holds it. All entries
 // compute the same home, so a context that one of them sent there is found by
 // the others without a word between them; without it each entry would build a
 // copy of its own in another engine's memory.
-func (x *Index) AddHome(home uint64, tokens int, out []Holding) []Holding {
+func (x *Index) AddPreferred(home uint64, tokens int, out []Holding) []Holding {
 	if tokens == 0 || has(out, home) {
 		return out
 	}
-	return append(out, Holding{Endpoint: home, Tokens: tokens, Chance: x.homeRate, Home: true})
+	return append(out, Holding{Endpoint: home, Tokens: tokens, Chance: x.homeRate, Preferred: true})
 }
 
 func has(list []Holding, endpoint uint64) bool {
@@ -147,8 +147,8 @@
 	return false
 }
 
-// Store records that an endpoint has computed or read a context.
-func (x *Index) Store(keys []contextkey.Key, endpoint uint64, now time.Time) {
+// Add records that an endpoint has computed or read a context.
+func (x *Index) Add(keys []contextkey.Key, endpoint uint64, now time.Time) {
 	for _, key := range keys {
 		entry, ok := x.current[key]
 		if !ok {
@@ -165,8 +165,8 @@
 	}
 }
 
-// Forget drops all that an endpoint is remembered to hold.
-func (x *Index) Forget(endpoint uint64) {
+// RemoveEndpoint drops all that an endpoint is remembered to hold.
+func (x *Index) RemoveEndpoint(endpoint uint64) {
 	for _, generation := range []map[contextkey.Key][holders]holder{x.current, x.previous} {
 		for key, list := range generation {
 			left := [holders]holder{}
@@ -184,14 +184,14 @@
 	}
 }
 
-// Learn compares what was expected of a holding with what the engine found.
-func (x *Index) Learn(h Holding, cachedTokens int) {
+// ObserveHit compares what was expected of a holding with what the engine found.
+func (x *Index) ObserveHit(h Holding, cachedTokens int) {
 	if h.Tokens == 0 {
 		return
 	}
 	hit := min(1, float64(cachedTokens)/float64(h.Tokens))
 	rate := &x.hitRate[bucket(h.Age)]
-	if h.Home {
+	if h.Preferred {
 		rate = &x.homeRate
 	}
 	*rate += learnRate * (hit - *rate)
@@ -200,8 +200,8 @@
 // Len is the number of pieces remembered.
 func (x *Index) Len() int { return len(x.current) + len(x.previous) }
 
-// ImportChance is the share of a context's missing tokens that stores hold.
-func (x *Index) ImportChance(seen bool) float64 { return x.importRate[asIndex(seen)] }
+// ImportShare is the share of a context's missing tokens that stores hold.
+func (x *Index) ImportShare(seen bool) float64 { return x.importRate[asIndex(seen)] }
 
 func asIndex(b bool) int {
 	if b {
@@ -210,8 +210,8 @@
 	return 0
 }
 
-// LearnImport compares what was missing with what came from a store.
-func (x *Index) LearnImport(seen bool, missing, imported int) {
+// ObserveImport compares what was missing with what came from a store.
+func (x *Index) ObserveImport(seen bool, missing, imported int) {
 	if missing <= 0 {
 		return
 	}
--- a/internal/coordination/routing/outcome.go
+++ b/internal/coordination/routing/outcome.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Begun tells that a choice's answer has begun.
-func (d *Directory) Begun(c Choice, now time.Time) {
+// RecordFirstToken tells that a choice's answer has begun.
+func (d *Directory) RecordFirstToken(c Choice, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t := d.open(c)
@@ -78,8 +78,8 @@
 	seen = max(seen, t.assumedRate/rateSpread)
 	seen = min(seen, t.assumedRate*rateSpread)
 	t.Load.PrefillRate = int(meanRate(float64(t.Load.PrefillRate), seen, rateWeight))
-	t.RatesSeen = min(t.RatesSeen+1, mostRatesSeen)
-	t.AllRates.learn(t.assumedRate, seen)
+	t.RateSamples = min(t.RateSamples+1, mostRatesSeen)
+	t.ModelRate.learn(t.assumedRate, seen)
 }
 
 // meanRate moves a mean rate towards one that was seen. Times add up, rates don't: the mean
@@ -129,10 +129,10 @@
 	}
 }
 
-// Unreachable ends a choice's run at an endpoint that could not be reached or fell
+// DoneUnreachable ends a choice's run at an endpoint that could not be reached or fell
 // silent. One such failure is enough: each further try costs a caller the time
 // until it is noticed.
-func (d *Directory) Unreachable(c Choice, now time.Time) {
+func (d *Directory) DoneUnreachable(c Choice, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if t := d.end(c); t != nil && !t.EjectedUntil.After(now) {
@@ -150,9 +150,9 @@
 // refusalPause is about the time in which a full endpoint ends a run.
 const refusalPause = 100 * time.Millisecond
 
-// Refused ends a choice's run that the endpoint did not accept: it is full or
+// DoneRefused ends a choice's run that the endpoint did not accept: it is full or
 // busy with an order, and others are asked for a moment.
-func (d *Directory) Refused(c Choice, now time.Time) {
+func (d *Directory) DoneRefused(c Choice, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t := d.end(c)
@@ -164,12 +164,12 @@
 	}
 }
 
-// Sent records that an endpoint reads a choice's context. Started does it for
+// RecordSent records that an endpoint reads a choice's context. Started does it for
 // engines that also tell what they found.
-func (d *Directory) Sent(c Choice, now time.Time) {
+func (d *Directory) RecordSent(c Choice, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.index.Store(c.keys, c.hash, now)
+	d.index.Add(c.keys, c.hash, now)
 }
 
 // learnRunTime keeps a moving average of how long a whole run takes.
--- a/internal/coordination/routing/peers.go
+++ b/internal/coordination/routing/peers.go
@@ -10,7 +10,7 @@
 	// HeldTokens of an engine's memory.
 	HeldTokens int
 	// Unread prompt tokens, by urgency.
-	Unread [Urgencies]int
+	Unread [UrgencyLevels]int
 }
 
 // UnreadTokens of all urgencies.
@@ -95,7 +95,7 @@
 	}
 	d.heardFrom[r.Domain] += sign
 	for _, t := range d.dynamic {
-		t.Shared = d.heardFrom[t.domain] > 0
+		t.HasPeerReports = d.heardFrom[t.domain] > 0
 	}
 	for _, w := range r.Work {
 		sum := d.workAt(w.Endpoint)
--- a/internal/coordination/routing/peers_test.go
+++ b/internal/coordination/routing/peers_test.go
@@ -31,8 +31,8 @@
 // countsOnly makes the directory's endpoints report counts of requests only.
 func countsOnly(d *Directory, ids ...string) {
 	for _, id := range ids {
-		d.Usable("s", epoch)
-		d.Describe(id, Properties{Slots: 64, MemoryTokens: 90_000, PrefillRate: 50_000, CountsOnly: true}, epoch)
+		d.UsableMembers("s", epoch)
+		d.SetProperties(id, Properties{Slots: 64, MemoryTokens: 90_000, PrefillRate: 50_000, CountsOnly: true}, epoch)
 	}
 }
 
@@ -85,7 +85,7 @@
 		ID: "late", Incarnation: 9, Version: 1, Domain: "d",
 		Endpoint: fleet.Endpoint{ID: "late", Labels: map[string]string{"pool": "x"}, Model: "m", WeightVersion: "v1"},
 	}, epoch)
-	d.Usable("s", epoch)
+	d.UsableMembers("s", epoch)
 	if got := d.dynamic["late"].PeerWork.Running; got != 3 {
 		t.Errorf("%d runs of peers at an endpoint that was discovered later", got)
 	}
@@ -106,20 +106,20 @@
 	countsOnly(d, "e0")
 	keys := []contextkey.Key{{1}, {2}, {3}}
 	underway := d.Choose("s", keys, &Request{PromptTokens: 900, HeldTokens: 1000, Urgency: 1, Now: epoch})
-	d.Sent(underway, epoch)
+	d.RecordSent(underway, epoch)
 	d.TakePeer(PeerReport{Sender: 7, Number: 1, Domain: "d", Work: []Work{work("e0", 5, 800)}}, epoch)
 	m, _ := table.Get("e0")
 	m.Incarnation, m.Version = 77, m.Version+1
 	table.Merge(m, epoch)
-	d.Usable("s", epoch)
+	d.UsableMembers("s", epoch)
 	e := d.dynamic["e0"]
 	if e.Running != 0 || e.HeldTokens != 0 || e.PeerWork.Running != 0 || len(d.index.Lookup(keys, nil, epoch, nil)) != 0 {
-		t.Errorf("the new start has %+v, peers' %+v", e.Dynamic, e.PeerWork)
+		t.Errorf("the new start has %+v, peers' %+v", e.RuntimeState, e.PeerWork)
 	}
-	d.Observe(underway, fleet.Load{Running: 40, AtMS: epoch.UnixMilli()}, epoch)
+	d.ObserveLoad(underway, fleet.Load{Running: 40, AtMS: epoch.UnixMilli()}, epoch)
 	d.Done(underway, true, epoch)
 	if e.Running != 0 || e.Load.Running != 0 || e.failures != 0 {
-		t.Errorf("after the earlier start's end: %+v", e.Dynamic)
+		t.Errorf("after the earlier start's end: %+v", e.RuntimeState)
 	}
 }
 
@@ -155,12 +155,12 @@
 func TestLargeFleetsStayInTheirDomain(t *testing.T) {
 	all, near := domains(55)
 	r, x := request(), random()
-	r.Domain, r.Near = "d0", near
+	r.Domain, r.Local = "d0", near
 	for i := range near {
 		near[i].Load.QueuedTokens = 40_000
 	}
 	for range 200 {
-		r.Root = x.Uint64()
+		r.PlacementHash = x.Uint64()
 		if v := Decide(all, r, x); v.Endpoint.Domain != "d0" {
 			t.Fatalf("sent to %s", v.Endpoint.Domain)
 		}
@@ -171,7 +171,7 @@
 	if v := Decide(all, r, x); v.Endpoint.Domain == "d0" {
 		t.Error("an ejected endpoint is preferred to other domains")
 	}
-	r.Near = nil
+	r.Local = nil
 	if v := Decide(all, r, x); v.Endpoint == nil {
 		t.Error("a domain without endpoints is not served by the others")
 	}
@@ -253,7 +253,7 @@
 	sort.Slice(p.underway, func(i, j int) bool { return p.underway[i].read.Before(p.underway[j].read) })
 	for len(p.underway) > 0 && !p.underway[0].read.After(p.now) {
 		u := p.underway[0]
-		u.d.Begun(u.choice, u.read)
+		u.d.RecordFirstToken(u.choice, u.read)
 		u.d.Done(u.choice, false, u.read)
 		p.underway = p.underway[1:]
 	}
@@ -277,7 +277,7 @@
 	}
 	d := p.dirs[p.random.IntN(playProcesses)]
 	c := d.Choose("s", []contextkey.Key{{byte(p.random.IntN(256)), byte(p.random.IntN(256))}}, &Request{
-		PromptTokens: tokens, Now: p.now, Domain: "d", OtherDomainPrice: 0.02, HoldingsKnown: true,
+		PromptTokens: tokens, Now: p.now, Domain: "d", CrossDomainPenalty: 0.02, HoldingsKnown: true,
 		Objective: config.Objective{WeightTTFT: 1, TTFTMS: 1000},
 	})
 	begin := p.now
--- a/internal/coordination/routing/routing.go
+++ b/internal/coordination/routing/routing.go
@@ -62,12 +62,12 @@
 	Hash uint64
 	// MaxConcurrent bounds the runs from this entry (0: no bound).
 	MaxConcurrent int
-	*Dynamic
+	*RuntimeState
 }
 
-// Dynamic is what changes with every run; the services that share an endpoint
+// RuntimeState is what changes with every run; the services that share an endpoint
 // share it.
-type Dynamic struct {
+type RuntimeState struct {
 	// Load as last reported.
 	Load fleet.Load
 	// SentTokens are prompt tokens this entry sent since the report, SentRuns runs.
@@ -89,24 +89,24 @@
 	RunTime time.Duration
 	// Unread is the prompt tokens of this entry's runs that have not begun to answer,
 	// by urgency. It stands for the queue where reports hold no tokens.
-	Unread [Urgencies]int
+	Unread [UrgencyLevels]int
 	// CountsOnly tells that the endpoint's reports hold counts of requests, but no
 	// tokens.
 	CountsOnly bool
-	// AllRates is how fast the model's engines read, and RatesSeen how often this one was
+	// ModelRate is how fast the model's engines read, and RatesSeen how often this one was
 	// seen, where reports hold no rate.
-	AllRates  *rates
-	RatesSeen int
-	// Peers is how much of the endpoint's work this entry's own stands for: all of
+	ModelRate   *rates
+	RateSamples int
+	// PeerFactor is how much of the endpoint's work this entry's own stands for: all of
 	// it divided by its own.
-	Peers float64
-	// LoadAt is when Load arrived.
-	LoadAt time.Time
+	PeerFactor float64
+	// LoadArrivedAt is when Load arrived.
+	LoadArrivedAt time.Time
 	// PeerWork is what other processes say that they have underway at the endpoint.
 	// Shared tells that those of its failure domain, who send it most, do say so; what
 	// is learned as Peers is not used then.
-	PeerWork *Work
-	Shared   bool
+	PeerWork       *Work
+	HasPeerReports bool
 }
 
 // Reason names why a candidate was looked at.
@@ -114,21 +114,21 @@
 
 // Reasons of candidates.
 const (
-	ReasonHolds  Reason = "holds_context"
-	ReasonHome   Reason = "home"
-	ReasonRandom Reason = "random"
-	ReasonAll    Reason = "all"
+	ReasonHoldsContext Reason = "holds_context"
+	ReasonPreferred    Reason = "home"
+	ReasonRandom       Reason = "random"
+	ReasonAll          Reason = "all"
 )
 
-// Verdict is a decision.
-type Verdict struct {
+// Decision is a decision.
+type Decision struct {
 	Endpoint *Endpoint
 	Reason   Reason
 	// TTFT is the expected time to first token, Wait the part of it before the
 	// endpoint begins with the request.
 	TTFT, Wait time.Duration
-	// Room is the part of Wait that is for a slot and memory.
-	Room time.Duration
+	// CapacityWait is the part of Wait that is for a slot and memory.
+	CapacityWait time.Duration
 	// CachedTokens expected to be found resident.
 	CachedTokens int
 	// WorkTokens expected to be computed.
@@ -142,10 +142,10 @@
 
 // The refusals.
 const (
-	// RefuseNone: no endpoint is usable.
-	RefuseNone Refusal = "none_usable"
-	// RefuseFull: the usable ones are at their bound.
-	RefuseFull Refusal = "all_full"
+	// RefusalNoneUsable: no endpoint is usable.
+	RefusalNoneUsable Refusal = "none_usable"
+	// RefusalAllFull: the usable ones are at their bound.
+	RefusalAllFull Refusal = "all_full"
 )
 
 // Random yields uniform numbers; *rand.Rand satisfies it.
@@ -156,9 +156,9 @@
 // HashID is an endpoint's place in computed placement.
 func HashID(id string) uint64 { return xxhash.Sum64String(id) }
 
-// RootOf names a prompt's context: the key of its first piece, or a hash of the
+// PlacementHash names a prompt's context: the key of its first piece, or a hash of the
 // text where it has none.
-func RootOf(keys []contextkey.Key, text string) uint64 {
+func PlacementHash(keys []contextkey.Key, text string) uint64 {
 	if len(keys) > 0 {
 		return binary.LittleEndian.Uint64(keys[0][:])
 	}
@@ -186,7 +186,7 @@
 // holders of the context, its homes by rendezvous hashing and some random ones.
 // Entries that decide on the same report draw different random candidates, so
 // they do not all meet at the endpoint that looked idle.
-func Decide(endpoints []Endpoint, r *Request, random Random) Verdict {
+func Decide(endpoints []Endpoint, r *Request, random Random) Decision {
 	var set candidates
 	if len(endpoints) <= scanLimit {
 		for i := range endpoints {
@@ -240,14 +240,14 @@
 func (c *candidates) choose(endpoints []Endpoint, r *Request, random Random) {
 	c.addHolders(endpoints, r, random)
 	homely := endpoints
-	if len(r.Near) > 0 {
-		homely = r.Near
-		c.addRandom(r.Near, nearProbes, r, random)
+	if len(r.Local) > 0 {
+		homely = r.Local
+		c.addRandom(r.Local, nearProbes, r, random)
 	}
-	for _, home := range homesOf(homely, r.Root) {
-		c.add(home, ReasonHome, r)
+	for _, home := range homesOf(homely, r.PlacementHash) {
+		c.add(home, ReasonPreferred, r)
 	}
-	if len(r.Near) == 0 {
+	if len(r.Local) == 0 {
 		c.addRandom(endpoints, randomProbes, r, random)
 	} else if !c.anyUsable(r) {
 		c.addUsable(endpoints, nearProbes, r, random)
@@ -277,7 +277,7 @@
 		}
 		added[k] = best
 		if e := find(endpoints, r.Holdings[best].Endpoint); e != nil {
-			c.add(e, ReasonHolds, r)
+			c.add(e, ReasonHoldsContext, r)
 		}
 	}
 }
@@ -373,10 +373,10 @@
 	return nil
 }
 
-func (c *candidates) pick(r *Request, random Random) Verdict {
-	best := Verdict{Refusal: RefuseNone}
+func (c *candidates) pick(r *Request, random Random) Decision {
+	best := Decision{Refusal: RefusalNoneUsable}
 	if c.full > 0 {
-		best.Refusal = RefuseFull
+		best.Refusal = RefusalAllFull
 	}
 	bestScore := 0.0
 	// A random start decides between equals.
@@ -389,7 +389,7 @@
 		cand := c.list[(start+i)%c.n]
 		e := evaluate(cand.endpoint, r, price)
 		if best.Endpoint == nil || e.score < bestScore {
-			best = Verdict{Endpoint: cand.endpoint, Reason: cand.reason, TTFT: e.ttft, Wait: e.wait, Room: e.room, CachedTokens: e.cached, WorkTokens: e.recomputed}
+			best = Decision{Endpoint: cand.endpoint, Reason: cand.reason, TTFT: e.ttft, Wait: e.wait, CapacityWait: e.room, CachedTokens: e.cached, WorkTokens: e.recomputed}
 			bestScore = e.score
 		}
 	}
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -20,7 +20,7 @@
 		id := fmt.Sprint("e", i)
 		out[i] = Endpoint{
 			Member: fleet.Member{ID: id, Domain: "d", Endpoint: fleet.Endpoint{ID: id, WeightVersion: "v1"}}, Hash: HashID(id),
-			Dynamic: &Dynamic{Load: fleet.Load{PrefillRate: 10_000}},
+			RuntimeState: &RuntimeState{Load: fleet.Load{PrefillRate: 10_000}},
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Hash < out[j].Hash })
@@ -29,7 +29,7 @@
 
 func request() *Request {
 	return &Request{
-		PromptTokens: 8300, ContextTokens: 8000, KnownTokens: 8000, Gap: time.Hour, Domain: "d", Now: epoch.Add(time.Hour),
+		PromptTokens: 8300, ContextTokens: 8000, KnownTokens: 8000, KnownAge: time.Hour, Domain: "d", Now: epoch.Add(time.Hour),
 		Objective: config.Objective{WeightTTFT: 1},
 	}
 }
@@ -72,7 +72,7 @@
 			e[3].Endpoint.WeightVersion = "v2"
 			e[3].Load.QueuedTokens = 1_000_000
 		}, 3, ""},
-		{"none of the version", func(_ []Endpoint, r *Request) { r.WeightVersion = "v3" }, -1, RefuseNone},
+		{"none of the version", func(_ []Endpoint, r *Request) { r.WeightVersion = "v3" }, -1, RefusalNoneUsable},
 		{"not those already tried", func(e []Endpoint, r *Request) { r.Exclude = []string{e[0].ID, e[1].ID, e[2].ID} }, 3, ""},
 		{"not one that is full", func(e []Endpoint, _ *Request) {
 			for i := range e {
@@ -84,7 +84,7 @@
 			for i := range e {
 				e[i].MaxConcurrent, e[i].Running = 1, 1
 			}
-		}, -1, RefuseFull},
+		}, -1, RefusalAllFull},
 		{"an ejected one only if there is no other", func(e []Endpoint, r *Request) {
 			for i := range e {
 				e[i].EjectedUntil = r.Now.Add(time.Second)
@@ -129,7 +129,7 @@
 	for _, row := range rows {
 		e, r := endpoints(2), request()
 		r.Objective = row.objective
-		r.Gap = time.Second
+		r.KnownAge = time.Second
 		r.Holdings = []Holding{{Endpoint: e[0].Hash, Tokens: 8000, Chance: 1}}
 		e[0].Load.QueuedTokens = 60_000
 		if v := Decide(e, r, random()); v.Endpoint.ID != e[row.want].ID {
@@ -169,14 +169,14 @@
 	roots := map[contextkey.Key]int{}
 	for i := range 200 {
 		keys := []contextkey.Key{{1}, {2, byte(i)}, {3, byte(i)}}
-		roots[x.Root(keys)]++
+		roots[x.PlacementKey(keys)]++
 	}
 	if roots[contextkey.Key{1}] > 2*sharedFrom {
 		t.Errorf("%d contexts have the shared piece as root", roots[contextkey.Key{1}])
 	}
 	own := []contextkey.Key{{9}, {8}, {7}}
 	for range 50 {
-		if x.Root(own) != own[0] {
+		if x.PlacementKey(own) != own[0] {
 			t.Fatal("a context that shares nothing lost its root")
 		}
 	}
@@ -185,20 +185,20 @@
 func TestIndexIsBoundedAndLearns(t *testing.T) {
 	x := NewIndex(100)
 	for i := range 1000 {
-		x.Store([]contextkey.Key{{byte(i), byte(i >> 8)}}, uint64(i)+1, epoch)
+		x.Add([]contextkey.Key{{byte(i), byte(i >> 8)}}, uint64(i)+1, epoch)
 	}
 	if x.Len() > 200 {
 		t.Errorf("%d pieces kept", x.Len())
 	}
 	keys := []contextkey.Key{{200, 200}, {201, 200}}
-	x.Store(keys, 7, epoch)
+	x.Add(keys, 7, epoch)
 	found := x.Lookup(keys, nil, epoch.Add(time.Minute), nil)
 	if len(found) != 1 || found[0].Endpoint != 7 || found[0].Tokens != 2*contextkey.PieceTokens {
 		t.Fatalf("%+v", found)
 	}
 	before := found[0].Chance
 	for range 50 {
-		x.Learn(found[0], 0)
+		x.ObserveHit(found[0], 0)
 	}
 	if after := x.Lookup(keys, nil, epoch.Add(time.Minute), nil)[0].Chance; after > before/4 {
 		t.Errorf("chance %g after 50 misses, %g before", after, before)
@@ -234,24 +234,24 @@
 	d, table := directoryOf(t, 1)
 	now := epoch.Add(time.Minute)
 	stamp := func(at time.Time) int64 { return at.Add(time.Hour).UnixMilli() }
-	d.Usable("s", now)
+	d.UsableMembers("s", now)
 	answered := Choice{Member: fleet.Member{ID: "e0", Incarnation: 1}}
-	d.Observe(answered, fleet.Load{QueuedTokens: 100, AtMS: stamp(now)}, now.Add(time.Millisecond))
+	d.ObserveLoad(answered, fleet.Load{QueuedTokens: 100, AtMS: stamp(now)}, now.Add(time.Millisecond))
 	d.Choose("s", nil, &Request{PromptTokens: 500, Now: now.Add(time.Second)})
 	table.SetReport(fleet.Report{Incarnation: 1, Version: 9, Load: fleet.Load{QueuedTokens: 9000, AtMS: stamp(now.Add(-time.Second))}, At: now.Add(2 * time.Second)})
-	d.TakeReports()
+	d.ApplyReports()
 	e := d.dynamic["e0"]
 	if e.Load.QueuedTokens != 100 || e.SentTokens != 500 {
-		t.Errorf("an older report won: %+v", e.Dynamic)
+		t.Errorf("an older report won: %+v", e.RuntimeState)
 	}
 	table.SetReport(fleet.Report{Incarnation: 1, Version: 10, Load: fleet.Load{QueuedTokens: 300, AtMS: stamp(now.Add(500 * time.Millisecond))}, At: now.Add(3 * time.Second)})
-	d.TakeReports()
+	d.ApplyReports()
 	if e.Load.QueuedTokens != 300 || e.SentTokens != 500 {
-		t.Errorf("a report taken before the send: %+v", e.Dynamic)
+		t.Errorf("a report taken before the send: %+v", e.RuntimeState)
 	}
-	d.Observe(answered, fleet.Load{QueuedTokens: 600, AtMS: stamp(now.Add(2 * time.Second))}, now.Add(2*time.Second))
+	d.ObserveLoad(answered, fleet.Load{QueuedTokens: 600, AtMS: stamp(now.Add(2 * time.Second))}, now.Add(2*time.Second))
 	if e.Load.QueuedTokens != 600 || e.SentTokens != 0 || e.SentRuns != 0 {
-		t.Errorf("a load taken after the send: %+v", e.Dynamic)
+		t.Errorf("a load taken after the send: %+v", e.RuntimeState)
 	}
 }
 
@@ -284,7 +284,7 @@
 			all[i].Endpoint.WeightVersion = fmt.Sprint("v", r.IntN(3))
 			all[i].MaxConcurrent, all[i].Running = 1, r.IntN(2)
 		}
-		q := &Request{Root: seed, PromptTokens: int(prompt), WeightVersion: version, Now: epoch, Objective: config.Objective{WeightTTFT: 1}}
+		q := &Request{PlacementHash: seed, PromptTokens: int(prompt), WeightVersion: version, Now: epoch, Objective: config.Objective{WeightTTFT: 1}}
 		if n > 0 {
 			q.Exclude = []string{all[int(full)%len(all)].ID}
 			q.Holdings = []Holding{{Endpoint: all[0].Hash, Tokens: int(prompt), Chance: 1}, {Endpoint: seed, Tokens: 1, Chance: 1}}
@@ -305,7 +305,7 @@
 func TestDecisionAllocatesNothing(t *testing.T) {
 	e, r, x := endpoints(940), request(), random()
 	r.Holdings = []Holding{{Endpoint: e[5].Hash, Tokens: 8000, Chance: 0.5}}
-	if n := testing.AllocsPerRun(100, func() { r.Root++; Decide(e, r, x) }); n != 0 {
+	if n := testing.AllocsPerRun(100, func() { r.PlacementHash++; Decide(e, r, x) }); n != 0 {
 		t.Errorf("%g allocations", n)
 	}
 }
@@ -316,7 +316,7 @@
 			e, r, x := endpoints(n), request(), random()
 			b.ReportAllocs()
 			for b.Loop() {
-				r.Root++
+				r.PlacementHash++
 				Decide(e, r, x)
 			}
 		})
@@ -341,9 +341,9 @@
 		{[3]bool{}, 0, 0},
 	}
 	for _, row := range rows {
-		r := &Request{ImportKnown: true}
+		r := &Request{SegmentsKnown: true}
 		for i, tokens := range []int{1000, 2000, 3000} {
-			r.Imports = append(r.Imports, Import{Tokens: tokens, Stored: row.stored[i], Domain: "d", Time: time.Duration(tokens) * time.Millisecond})
+			r.Segments = append(r.Segments, Segment{Tokens: tokens, Stored: row.stored[i], Domain: "d", TransferTime: time.Duration(tokens) * time.Millisecond})
 		}
 		got := r.importable(row.cached)
 		if got != row.want {
--- a/internal/coordination/routing/sizes_test.go
+++ b/internal/coordination/routing/sizes_test.go
@@ -19,7 +19,7 @@
 		length       = 4 * time.Minute
 	)
 	random := rand.New(rand.NewPCG(1, 1))
-	e := &Endpoint{Dynamic: &Dynamic{MemoryTokens: memory, RunTime: runTime, CountsOnly: true}}
+	e := &Endpoint{RuntimeState: &RuntimeState{MemoryTokens: memory, RunTime: runTime, CountsOnly: true}}
 	type run struct {
 		tokens int
 		end    time.Duration
@@ -41,7 +41,7 @@
 			class = 1
 		}
 		came[class]++
-		r := &Request{PromptTokens: tokens, HeldTokens: tokens, UsualTokens: usual, Now: epoch.Add(now)}
+		r := &Request{PromptTokens: tokens, HeldTokens: tokens, MeanHeldTokens: usual, Now: epoch.Add(now)}
 		if evaluate(e, r, 0).wait > limit {
 			continue
 		}
--- a/internal/coordination/routing/tracked.go
+++ b/internal/coordination/routing/tracked.go
@@ -8,7 +8,7 @@
 
 // tracked is what this process knows of one endpoint, and has done to it.
 type tracked struct {
-	Dynamic
+	RuntimeState
 	incarnation uint64
 	domain      string
 	// stamp of the newest load, by the agent's clock, and the smallest difference
@@ -51,7 +51,7 @@
 		load.PrefillRate, load.LinkRate = t.Load.PrefillRate, t.Load.LinkRate
 		t.learnPeers(load)
 	}
-	t.Load, t.stamp, t.LoadAt = load, load.AtMS, arrived
+	t.Load, t.stamp, t.LoadArrivedAt = load, load.AtMS, arrived
 	// The fastest message so far tells how the clocks differ, and with that when
 	// this load was taken by this entry's clock.
 	taken := time.UnixMilli(load.AtMS).Add(t.offset)
@@ -66,7 +66,7 @@
 	t.allRuns += weight * (float64(load.Running+load.Queued) - t.allRuns)
 	t.ownRuns += weight * (float64(t.Running) - t.ownRuns)
 	if t.ownRuns > 0 {
-		t.Peers = max(1, t.allRuns/t.ownRuns)
+		t.PeerFactor = max(1, t.allRuns/t.ownRuns)
 	}
 }
 
@@ -87,8 +87,8 @@
 	t.SentRuns++
 }
 
-// Belief is an endpoint's state as a decision saw it.
-type Belief struct {
+// LoadSnapshot is an endpoint's state as a decision saw it.
+type LoadSnapshot struct {
 	// Running and Queued as the endpoint last said, LoadAge ago; Sent since then and
 	// Own running from this entry.
 	Running, Queued, Sent, Own int
@@ -99,8 +99,8 @@
 	PeerRunning, PeerUnread int
 }
 
-func (t *tracked) belief(now time.Time) Belief {
-	b := Belief{Running: t.Load.Running, Queued: t.Load.Queued, Sent: t.SentRuns, Own: t.Running, HeldTokens: t.HeldTokens}
+func (t *tracked) belief(now time.Time) LoadSnapshot {
+	b := LoadSnapshot{Running: t.Load.Running, Queued: t.Load.Queued, Sent: t.SentRuns, Own: t.Running, HeldTokens: t.HeldTokens}
 	if t.stamp != 0 {
 		b.LoadAge = now.Sub(time.UnixMilli(t.stamp).Add(t.offset))
 	}
--- a/internal/coordination/runs/attempt.go
+++ b/internal/coordination/runs/attempt.go
@@ -121,7 +121,7 @@
 		return nil
 	}
 	if l := e.GetLoad(); l != nil {
-		a.runner.Directory.Observe(a.choice, fleet.LoadFromWire(l), time.Now())
+		a.runner.Directory.ObserveLoad(a.choice, fleet.LoadFromWire(l), time.Now())
 	}
 	if e.GetRefused() == nil && !a.progress.claim(a) {
 		return hedgeLost()
@@ -164,7 +164,7 @@
 
 func (a *attempt) started(s *wire.Started) *outcome {
 	p := a.progress
-	a.runner.Directory.Started(a.choice, int(s.GetCachedTokens()), int(s.GetImportedTokens()), time.Now())
+	a.runner.Directory.RecordCachedTokens(a.choice, int(s.GetCachedTokens()), int(s.GetImportedTokens()), time.Now())
 	if p.started {
 		return nil
 	}
--- a/internal/coordination/runs/errors.go
+++ b/internal/coordination/runs/errors.go
@@ -111,7 +111,7 @@
 	if last != nil {
 		return last.final(p, "no other endpoint is left")
 	}
-	if refusal == routing.RefuseFull {
+	if refusal == routing.RefusalAllFull {
 		return apierror.Later(http.StatusServiceUnavailable, apierror.CodeOverloaded, "all endpoints are full", 500*time.Millisecond)
 	}
 	return apierror.Later(http.StatusServiceUnavailable, apierror.CodeNoEndpoint, "no endpoint serves this now", time.Second)
--- a/internal/coordination/runs/runs.go
+++ b/internal/coordination/runs/runs.go
@@ -137,7 +137,7 @@
 		tokens = contextkey.Tokens(text)
 	}
 	return &routing.Request{
-		Root: routing.RootOf(keys, text), PromptTokens: tokens, Objective: job.Service.Objective,
+		PlacementHash: routing.PlacementHash(keys, text), PromptTokens: tokens, Objective: job.Service.Objective,
 		Domain: r.Table.Self().Domain,
 	}
 }
--- a/internal/state/routes/routes.go
+++ b/internal/state/routes/routes.go
@@ -54,9 +54,9 @@
 	Resumable bool
 }
 
-// Repeatable tells whether a request that may have run may be sent again from
+// IsRepeatable tells whether a request that may have run may be sent again from
 // its beginning.
-func (r *Route) Repeatable() bool { return r.Kind == Idempotent }
+func (r *Route) IsRepeatable() bool { return r.Kind == Idempotent }
 
 // Pick chooses the target for a uniform number.
 func (r *Route) Pick(random uint64) string {
@@ -94,8 +94,8 @@
 	Domain             string
 	MemoryTokens       int
 	LinkBytesPerSecond int64
-	// FirstByte is the fixed wait of each transfer.
-	FirstByte time.Duration
+	// TransferLatency is the fixed wait of each transfer.
+	TransferLatency time.Duration
 	// Managed stores drop nothing by themselves.
 	Managed bool
 }
@@ -133,8 +133,8 @@
 	Revision uint64
 	Services map[string]*Service
 	Limits   Limits
-	// Keyed tells that requests carry keys.
-	Keyed bool
+	// KeysRequired tells that requests carry keys.
+	KeysRequired bool
 
 	byHost map[string][]*Route
 	owners map[string]*Customer
@@ -145,7 +145,7 @@
 // New builds a table.
 func New(version, revision uint64, list []Route, services []Service, customers []Customer, limits Limits) *Table {
 	t := &Table{
-		Version: version, Revision: revision, Limits: limits, Keyed: len(customers) > 0,
+		Version: version, Revision: revision, Limits: limits, KeysRequired: len(customers) > 0,
 		Services: map[string]*Service{}, byHost: map[string][]*Route{}, owners: map[string]*Customer{}, priorities: map[string][2]int{},
 	}
 	for i := range list {
@@ -178,9 +178,9 @@
 	}
 }
 
-// Rank is a priority's place among those of a service's routes: 0 for the most urgent and
+// PriorityRank is a priority's place among those of a service's routes: 0 for the most urgent and
 // all beyond, 1 for the least and all beyond. A customer's own priority may lie outside.
-func (t *Table) Rank(priority int, service string) float64 {
+func (t *Table) PriorityRank(priority int, service string) float64 {
 	known := t.priorities[service]
 	switch {
 	case priority <= known[0]:
@@ -204,8 +204,8 @@
 	return nil, false
 }
 
-// Owner finds the customer that holds a key.
-func (t *Table) Owner(key string) (*Customer, bool) {
+// CustomerOf finds the customer that holds a key.
+func (t *Table) CustomerOf(key string) (*Customer, bool) {
 	c, ok := t.owners[key]
 	return c, ok
 }
--- a/internal/state/routes/routes_test.go
+++ b/internal/state/routes/routes_test.go
@@ -39,19 +39,19 @@
 	}
 	x := table(of("urgent", 0), of("middle", 1), of("patient", 2), Route{Host: "h", Prefix: "/x/", Priority: 7, Targets: []Target{{"alone", 1}}})
 	for name, want := range map[string]float64{"urgent": 0, "middle": 0.5, "patient": 1} {
-		if r, _ := x.Match("h", "/"+name+"/"); x.Rank(r.Priority, "s") != want {
-			t.Errorf("%s has rank %g", name, x.Rank(r.Priority, "s"))
+		if r, _ := x.Match("h", "/"+name+"/"); x.PriorityRank(r.Priority, "s") != want {
+			t.Errorf("%s has rank %g", name, x.PriorityRank(r.Priority, "s"))
 		}
 	}
-	if r, _ := x.Match("h", "/x/"); x.Rank(r.Priority, "alone") != 0 {
+	if r, _ := x.Match("h", "/x/"); x.PriorityRank(r.Priority, "alone") != 0 {
 		t.Error("a service of one priority has ranks")
 	}
 	for priority, want := range map[int]float64{-3: 0, 9: 1} {
-		if got := x.Rank(priority, "s"); got != want {
+		if got := x.PriorityRank(priority, "s"); got != want {
 			t.Errorf("a customer's priority %d has rank %g", priority, got)
 		}
 	}
-	if got := x.Rank(9, "alone"); got != 1 {
+	if got := x.PriorityRank(9, "alone"); got != 1 {
 		t.Errorf("a customer of lower priority than all routes has rank %g", got)
 	}
 }
