--- a/internal/command/gateway_peers.go
+++ b/internal/command/gateway_peers.go
@@ -32,7 +32,7 @@
 
 // shareWork tells the other gateways what this one has underway, and hears of theirs.
 // A gateway that can't do so serves by what endpoints say alone; nil is returned then.
-func (p *gatewayProcess) shareWork(self fleet.Member, store *platform.Store) *loadreport.Reporter {
+func (p *gatewayProcess) shareWork(self fleet.Member, store *platform.Store) *loadreport.Exchanger {
 	if p.settings.Platform.Peers == "" {
 		return nil
 	}
@@ -42,7 +42,7 @@
 		p.log.Error("work is not shared with other gateways", zap.Error(err))
 		return nil
 	}
-	sharer := &loadreport.Reporter{
+	sharer := &loadreport.Exchanger{
 		Conn: conn, Address: address, Domain: self.Domain, Incarnation: self.Incarnation,
 		Directory: p.gateway.Directory, Registry: store, Log: p.log,
 	}
@@ -52,7 +52,7 @@
 
 // shareNotices has the director tell the other gateways what it writes to the rollout lease,
 // and hear what they write. Without, all look at the lease themselves.
-func (p *gatewayProcess) shareNotices(sharer *loadreport.Reporter, director *rollout.Director) {
+func (p *gatewayProcess) shareNotices(sharer *loadreport.Exchanger, director *rollout.Director) {
 	if p.settings.Platform.Notices == "" {
 		return
 	}
@@ -68,7 +68,7 @@
 
 // shareContents has the gateways of the failure domain share the following of stores and
 // engines. Without, each follows all.
-func (p *gatewayProcess) shareContents(sharer *loadreport.Reporter, keeper *contextcache.Keeper) {
+func (p *gatewayProcess) shareContents(sharer *loadreport.Exchanger, keeper *contextcache.Keeper) {
 	if p.settings.Platform.Contents == "" {
 		return
 	}
@@ -90,7 +90,7 @@
 
 // shareQuarantines tells the other gateways of requests that crash endpoints. Without, each hears of
 // quarantines from the store, and finds others itself.
-func (p *gatewayProcess) shareQuarantines(sharer *loadreport.Reporter) {
+func (p *gatewayProcess) shareQuarantines(sharer *loadreport.Exchanger) {
 	guard := p.gateway.Guard
 	guard.Processes = sharer.Processes
 	if p.settings.Platform.Quarantines == "" {
--- a/internal/coordination/loadreport/reporter.go
+++ b/internal/coordination/loadreport/exchanger.go
@@ -48,8 +48,8 @@
 	ForgetPeers(now time.Time)
 }
 
-// Reporter exchanges reports with the other processes. Its fields are set before Run.
-type Reporter struct {
+// Exchanger exchanges reports with the other processes. Its fields are set before Run.
+type Exchanger struct {
 	// Conn sends and receives reports; Run closes it.
 	Conn net.PacketConn
 	// Address of Conn as peers reach it.
@@ -93,7 +93,7 @@
 }
 
 // Run exchanges reports until ctx ends, and then says that this process leaves.
-func (s *Reporter) Run(ctx context.Context) {
+func (s *Exchanger) Run(ctx context.Context) {
 	s.mu.Lock()
 	s.peers, s.silent = map[netip.AddrPort]*peer{}, map[netip.AddrPort]bool{}
 	s.mu.Unlock()
@@ -116,16 +116,16 @@
 }
 
 // Hosts lists the hosts of the other processes that are known, of all failure domains.
-func (s *Reporter) Hosts() []netip.Addr {
+func (s *Exchanger) Hosts() []netip.Addr {
 	return s.hosts(func(*peer) bool { return true })
 }
 
 // DomainHosts lists those of this process's own failure domain that have not stopped.
-func (s *Reporter) DomainHosts() []netip.Addr {
+func (s *Exchanger) DomainHosts() []netip.Addr {
 	return s.hosts(func(p *peer) bool { return p.domain == s.Domain && !p.left })
 }
 
-func (s *Reporter) hosts(which func(*peer) bool) []netip.Addr {
+func (s *Exchanger) hosts(which func(*peer) bool) []netip.Addr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]netip.Addr, 0, len(s.peers))
@@ -138,14 +138,14 @@
 }
 
 // Processes counts the known processes, this one included.
-func (s *Reporter) Processes() int {
+func (s *Exchanger) Processes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.peers) + 1
 }
 
 // report sends what is underway to the next peers in turn.
-func (s *Reporter) report(leaving bool, most int) {
+func (s *Exchanger) report(leaving bool, most int) {
 	targets := s.targets(most)
 	if len(targets) == 0 {
 		return
@@ -165,7 +165,7 @@
 }
 
 // targets picks the next peers to be told.
-func (s *Reporter) targets(most int) []netip.AddrPort {
+func (s *Exchanger) targets(most int) []netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -193,7 +193,7 @@
 }
 
 // forgetSilent drops the peers that say nothing; s.mu is held.
-func (s *Reporter) forgetSilent(now time.Time) {
+func (s *Exchanger) forgetSilent(now time.Time) {
 	for address, p := range s.peers {
 		if p.silentFor(now) > silentAfter {
 			delete(s.peers, address)
@@ -204,7 +204,7 @@
 
 // receive takes in reports until the connection is closed. A sender that the registry
 // has not named yet is a peer from now on.
-func (s *Reporter) receive() {
+func (s *Exchanger) receive() {
 	datagram.Each(s.Conn, func(data []byte, from net.Addr) {
 		report, err := decode(data)
 		if err != nil {
@@ -215,7 +215,7 @@
 	})
 }
 
-func (s *Reporter) take(r routing.PeerReport, from net.Addr) {
+func (s *Exchanger) take(r routing.PeerReport, from net.Addr) {
 	now := time.Now()
 	s.Directory.TakePeer(r, now)
 	udp, ok := from.(*net.UDPAddr)
@@ -243,7 +243,7 @@
 // register enters this process in the registry and reads the others from it. Of two
 // that start together the later finds the earlier there and reports to it, so each
 // learns of the other.
-func (s *Reporter) register(ctx context.Context) {
+func (s *Exchanger) register(ctx context.Context) {
 	next := settleAfter
 	for ctx.Err() == nil {
 		wait := registerPause
@@ -256,7 +256,7 @@
 	}
 }
 
-func (s *Reporter) registerOnce(ctx context.Context) error {
+func (s *Exchanger) registerOnce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	own := registryKey(s.Domain, s.Address)
@@ -285,7 +285,7 @@
 }
 
 // forgetUnlisted drops the peers that only the registry spoke of, and does no more.
-func (s *Reporter) forgetUnlisted(present map[netip.AddrPort]bool) {
+func (s *Exchanger) forgetUnlisted(present map[netip.AddrPort]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for address, p := range s.peers {
@@ -297,7 +297,7 @@
 
 // listed notes a peer that the registry names. True asks for the entry's removal: the
 // peer has been told of this process for long and has said nothing.
-func (s *Reporter) listed(domain string, address netip.AddrPort) (remove bool) {
+func (s *Exchanger) listed(domain string, address netip.AddrPort) (remove bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.silent[address] {
@@ -312,7 +312,7 @@
 
 // drop removes an entry of a process that is gone. One that lives, and was only not
 // heard, enters itself again when it reads the registry.
-func (s *Reporter) drop(ctx context.Context, o objectapi.Object) {
+func (s *Exchanger) drop(ctx context.Context, o objectapi.Object) {
 	err := s.Registry.Delete(ctx, o.Key, o.Version)
 	s.Log.Info("silent peer taken out of the registry", zap.String("key", o.Key), zap.Error(err))
 }
--- a/internal/coordination/loadreport/reporter_test.go
+++ b/internal/coordination/loadreport/exchanger_test.go
@@ -64,7 +64,7 @@
 // member is one process of a test.
 type member struct {
 	*directory
-	sharer  *Reporter
+	sharer  *Exchanger
 	address netip.AddrPort
 	stop    func()
 }
@@ -106,7 +106,7 @@
 func (f *fleet) start(t *testing.T, number int, domain string) *member {
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(number)}), 7701)
 	d := &directory{heard: map[uint64]routing.PeerReport{}, own: []routing.Work{{Endpoint: uint32(number), Running: 1}}}
-	s := &Reporter{
+	s := &Exchanger{
 		Conn: f.network.Open(address), Address: address, Domain: domain, Incarnation: uint64(number),
 		Directory: d, Registry: f.registry, Log: zap.NewNop(),
 	}
