--- a/internal/coordination/gateway/attempt.go
+++ b/internal/coordination/gateway/attempt.go
@@ -13,12 +13,12 @@
 	"limpetwall/internal/transport/upstream"
 )
 
-// verdict tells what became of an attempt.
-type verdict uint8
+// outcomeKind tells what became of an attempt.
+type outcomeKind uint8
 
 const (
 	// delivered: the answer is with the caller.
-	delivered verdict = iota
+	delivered outcomeKind = iota
 	// notReached: no byte of the request left this process.
 	notReached
 	// rejected: the endpoint says that it did not run the request.
@@ -40,13 +40,13 @@
 )
 
 // String gives the verdict's name for logs.
-func (v verdict) String() string {
+func (v outcomeKind) String() string {
 	return [...]string{"delivered", "not_reached", "rejected", "answered_failure", "broken", "timed_out", "caller_gone", "moved_on", "stopped", "called_back"}[v]
 }
 
 // outcome is how one attempt ended.
 type outcome struct {
-	verdict verdict
+	kind outcomeKind
 	// answer is a failure that the endpoint gave, to be passed on if no other
 	// attempt does better.
 	answer *buffered
@@ -84,7 +84,7 @@
 	x.connection = request.Trace
 	if err != nil {
 		out := x.failure(ctx, err)
-		out.stale = out.verdict == broken && request.Trace.Reused && !request.Trace.Answered && connectionEnded(err)
+		out.stale = out.kind == broken && request.Trace.Reused && !request.Trace.Answered && connectionEnded(err)
 		return nil, Reply{}, out
 	}
 	reply := x.g.Codec.DecodeReply(resp.Status, resp.Header)
@@ -103,19 +103,19 @@
 func (x *exchange) failure(ctx context.Context, err error) outcome {
 	switch {
 	case x.callerLeft():
-		return outcome{verdict: callerGone, err: err}
+		return outcome{kind: callerGone, err: err}
 	case errors.Is(err, upstream.ErrNotSent):
-		return outcome{verdict: notReached, err: err}
+		return outcome{kind: notReached, err: err}
 	case x.stopping():
-		return outcome{verdict: stopped, err: err}
+		return outcome{kind: stopped, err: err}
 	case errors.Is(context.Cause(ctx), errBlamed):
-		return outcome{verdict: calledBack, err: errBlamed}
+		return outcome{kind: calledBack, err: errBlamed}
 	case errors.Is(context.Cause(ctx), errReplacedWeights):
-		return outcome{verdict: broken, err: errReplacedWeights}
+		return outcome{kind: broken, err: errReplacedWeights}
 	case ctx.Err() != nil:
-		return outcome{verdict: timedOut, err: err}
+		return outcome{kind: timedOut, err: err}
 	}
-	return outcome{verdict: broken, err: err}
+	return outcome{kind: broken, err: err}
 }
 
 // rejectedBy ends an attempt that the endpoint did not run.
@@ -126,7 +126,7 @@
 	case r.Misdirected:
 		x.g.State.Misdirected(c.Member.ID)
 	}
-	return outcome{verdict: rejected}
+	return outcome{kind: rejected}
 }
 
 // hopByHop headers concern one connection only.
@@ -179,14 +179,14 @@
 	answer := &buffered{status: resp.Status, header: resp.Header, body: body}
 	switch {
 	case x.wrote || !x.mayPassStatus(resp.Status):
-		return outcome{verdict: answeredFailure, answer: answer}
+		return outcome{kind: answeredFailure, answer: answer}
 	case len(body) == maxBuffered:
 		return x.passOn(ctx, answer, resp)
 	case resp.Status >= http.StatusInternalServerError:
-		return outcome{verdict: answeredFailure, answer: answer}
+		return outcome{kind: answeredFailure, answer: answer}
 	}
 	x.deliver(answer)
-	return outcome{verdict: delivered}
+	return outcome{kind: delivered}
 }
 
 // passOn delivers an answer that is too long to be kept.
@@ -194,17 +194,17 @@
 	x.writeHead(a.status, a.header, rest.Length)
 	x.stream.unresumable = true
 	if _, err := x.w.Write(a.body); err != nil {
-		return outcome{verdict: callerGone, err: err}
+		return outcome{kind: callerGone, err: err}
 	}
 	caller := &callerWriter{Writer: x.w}
 	_, err := io.Copy(caller, rest)
 	switch {
 	case caller.err != nil:
-		return outcome{verdict: callerGone, err: caller.err}
+		return outcome{kind: callerGone, err: caller.err}
 	case err != nil:
 		return x.failure(ctx, err)
 	}
-	return outcome{verdict: delivered}
+	return outcome{kind: delivered}
 }
 
 // callerWriter keeps the error of a write to the caller, which a copy's result doesn't tell from one of the endpoint.
--- a/internal/coordination/gateway/bench_test.go
+++ b/internal/coordination/gateway/bench_test.go
@@ -52,7 +52,7 @@
 // costSite is a gateway that logs as in production, before one endpoint.
 func costSite(b *testing.B, kind routes.Kind, answer func(c net.Conn, r *http.Request)) *Gateway {
 	t := &testing.T{}
-	s := newSite(t, route(kind, 1))
+	s := newTestServer(t, singleRoute(kind, 1))
 	out := logging.NewBounded(io.Discard, 4096)
 	b.Cleanup(func() { out.Close(time.Second) })
 	s.gateway.Log = logging.New(out, zap.InfoLevel)
@@ -72,8 +72,8 @@
 func forward(b *testing.B, g *Gateway) {
 	r := httptest.NewRequest("POST", "/r/x", strings.NewReader(strings.Repeat("b", 600)))
 	r.Host = "h"
-	r.Header.Set(testID, "id-1")
-	r.Header.Set(testKey, "key")
+	r.Header.Set(headerID, "id-1")
+	r.Header.Set(headerKey, "key")
 	w := httptest.NewRecorder()
 	g.ServeHTTP(w, r)
 	if w.Code != http.StatusOK {
@@ -86,7 +86,7 @@
 func BenchmarkPlainRequest(b *testing.B) {
 	body := strings.Repeat("a", 800)
 	g := costSite(b, routes.NonIdempotent, func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 800\r\n\r\n%s", testID, r.Header.Get(testID), body)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 800\r\n\r\n%s", headerID, r.Header.Get(headerID), body)
 	})
 	b.ReportAllocs()
 	began := processorTime(b)
@@ -106,7 +106,7 @@
 		fmt.Fprintf(&all, "%x\r\n%s\r\n", len(text), text)
 	}
 	g := costSite(b, routes.Streaming, func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nTransfer-Encoding: chunked\r\n\r\n%s0\r\n\r\n", testID, r.Header.Get(testID), all.String())
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nTransfer-Encoding: chunked\r\n\r\n%s0\r\n\r\n", headerID, r.Header.Get(headerID), all.String())
 	})
 	b.ReportAllocs()
 	began := processorTime(b)
--- a/internal/coordination/gateway/config_test.go
+++ b/internal/coordination/gateway/config_test.go
@@ -23,10 +23,10 @@
 // "Unknown key" would make the caller give up a key that is good: it is told to
 // come back instead.
 func TestOutdatedConfigurationRefusesNobodyForGood(t *testing.T) {
-	s := newSite(t, route(routes.Idempotent, 1), say(200, "a"))
+	s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
 	s.gateway.Watcher.Heard(time.Now().Add(-staleAfter - time.Second))
 	for _, path := range []string{"/r/x", "/new/x"} {
-		resp, _, err := s.ask(s.request("GET", path, "", testKey+": new"))
+		resp, _, err := s.do(s.newRequest("GET", path, "", headerKey+": new"))
 		if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: %v %v", path, resp, err)
 		}
@@ -50,11 +50,11 @@
 		{"public route", time.Second, true, 200},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			list := route(routes.Idempotent, 1)
+			list := singleRoute(routes.Idempotent, 1)
 			list[0].Public = row.public
-			s := newSite(t, list, say(200, "a"))
+			s := newTestServer(t, list, respond(200, "a"))
 			s.gateway.KeysValidFor = row.validFor
-			resp, _, err := s.ask(s.request("GET", "/r/x", "", testKey+": key"))
+			resp, _, err := s.do(s.newRequest("GET", "/r/x", "", headerKey+": key"))
 			if err != nil || resp.StatusCode != row.status {
 				t.Errorf("%v %v", resp, err)
 			}
@@ -68,9 +68,9 @@
 }
 
 func TestNoConfigurationYet(t *testing.T) {
-	s := newSite(t, nil)
+	s := newTestServer(t, nil)
 	s.gateway.State = discovery.NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
-	resp, _, err := s.ask(s.request("GET", "/r/x", ""))
+	resp, _, err := s.do(s.newRequest("GET", "/r/x", ""))
 	if err != nil || resp.StatusCode != 503 {
 		t.Errorf("%v %v", resp, err)
 	}
@@ -86,13 +86,13 @@
 // All are answered; what the log leaves out is counted.
 func TestRequestLinesAreBounded(t *testing.T) {
 	// The endpoint closes each connection: the next request must not go out on it.
-	s := newSite(t, route(routes.Idempotent, 1), say(200, "a"))
+	s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
 	core, lines := observer.New(zapcore.InfoLevel)
 	s.gateway.Log = zap.New(core)
 	const told, sent = 3, 8
 	s.gateway.RequestLogLimiter = rate.NewLimiter(0, told)
 	for range sent {
-		if resp, _, err := s.ask(s.request("GET", "/r/x", "")); err != nil || resp.StatusCode != 200 {
+		if resp, _, err := s.do(s.newRequest("GET", "/r/x", "")); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v %v", resp, err)
 		}
 	}
--- a/internal/coordination/gateway/crash.go
+++ b/internal/coordination/gateway/crash.go
@@ -89,7 +89,7 @@
 
 // probeCrash has an endpoint probed under which a run broke. nil means that there is nothing to find out.
 func (x *exchange) probeCrash(c routing.Choice, o outcome, sent time.Time) *crashProbe {
-	if o.verdict != broken || x.g.Dial == nil || !connectionEnded(o.err) {
+	if o.kind != broken || x.g.Dial == nil || !connectionEnded(o.err) {
 		return nil
 	}
 	instance, listed := x.g.State.Instance(c.Member.ID)
@@ -288,7 +288,7 @@
 
 // noteSurvival clears a request that an endpoint has run to its end, also to one that is a failure.
 func (x *exchange) noteSurvival(o outcome) {
-	if (o.verdict == delivered || o.verdict == answeredFailure) && !x.g.Guard.IsIdle() {
+	if (o.kind == delivered || o.kind == answeredFailure) && !x.g.Guard.IsIdle() {
 		x.g.Guard.Survived(x.fingerprint())
 	}
 }
--- a/internal/coordination/gateway/crash_test.go
+++ b/internal/coordination/gateway/crash_test.go
@@ -25,12 +25,12 @@
 )
 
 // crash ends an endpoint as the end of its process does: it listens no more, and its connections close.
-func (s *site) crash(endpoint int) answerer {
+func (s *testServer) crash(endpoint int) responder {
 	return func(net.Conn, *http.Request) { s.endpoints[endpoint].listener.Close() }
 }
 
 // observed collects a site's log.
-func (s *site) observed() *observer.ObservedLogs {
+func (s *testServer) observed() *observer.ObservedLogs {
 	core, lines := observer.New(zap.InfoLevel)
 	s.gateway.Log = zap.New(core)
 	return lines
@@ -41,25 +41,25 @@
 // A lost answer or a reset connection that counted as a crash would have the request blamed for it.
 func TestCrashIsToldFromALostAnswer(t *testing.T) {
 	torn := func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 50\r\n\r\nhalf", testID, r.Header.Get(testID))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 50\r\n\r\nhalf", headerID, r.Header.Get(headerID))
 	}
 	reset := func(c net.Conn, _ *http.Request) { c.(*net.TCPConn).SetLinger(0) }
-	var s *site
+	var s *testServer
 	rows := []struct {
 		name    string
 		kind    routes.Kind
-		end     answerer
+		end     responder
 		leaving bool
 		crashed bool
 	}{
 		{"a crash", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crash(0)(c, r) }, false, true},
-		{"a crash inside a stream", routes.Streaming, func(c net.Conn, r *http.Request) { s.crash(0)(c, r); stream("", "1")(c, r) }, false, true},
+		{"a crash inside a stream", routes.Streaming, func(c net.Conn, r *http.Request) { s.crash(0)(c, r); respondStream("", "1")(c, r) }, false, true},
 		{"a crash inside an answer", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crash(0)(c, r); torn(c, r) }, false, true},
 		{"the end of one that leaves", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crash(0)(c, r) }, true, false},
-		{"a lost answer", routes.NonIdempotent, hangUp, false, false},
+		{"a lost answer", routes.NonIdempotent, closeConn, false, false},
 		{"a torn answer", routes.NonIdempotent, torn, false, false},
 		{"a reset connection", routes.NonIdempotent, reset, false, false},
-		{"a failure", routes.NonIdempotent, say(500, "sorry"), false, false},
+		{"a failure", routes.NonIdempotent, respond(500, "sorry"), false, false},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -71,9 +71,9 @@
 				}
 				row.end(c, r)
 			}
-			s = newSite(t, route(row.kind, 1), leave)
+			s = newTestServer(t, singleRoute(row.kind, 1), leave)
 			lines := s.observed()
-			s.ask(s.request("POST", "/r/x", "b"))
+			s.do(s.newRequest("POST", "/r/x", "b"))
 			s.server.Close()
 			s.gateway.crashProbes.wait()
 			if got := lines.FilterMessage("endpoint crashed").Len() > 0; got != row.crashed {
@@ -84,15 +84,15 @@
 }
 
 // guarded gives a site's gateway a guard whose duties don't run.
-func (s *site) guarded() *quarantine.Guard {
+func (s *testServer) guarded() *quarantine.Guard {
 	s.gateway.Guard = quarantine.NewGuard(quarantine.NewBook(), standin.New(), zap.NewNop(), metrics.NewRegistry(), time.Now)
 	return s.gateway.Guard
 }
 
 // crashingSite has endpoints that crash on the body "poison", by ending the answer that begin makes.
-func crashingSite(t *testing.T, kind routes.Kind, attempts, endpoints int, begin answerer) *site {
-	var s *site
-	scripts := make([]answerer, endpoints)
+func crashingSite(t *testing.T, kind routes.Kind, attempts, endpoints int, begin responder) *testServer {
+	var s *testServer
+	scripts := make([]responder, endpoints)
 	for i := range scripts {
 		scripts[i] = func(c net.Conn, r *http.Request) {
 			if s.endpoints[i].lastBody() == "poison" {
@@ -100,12 +100,12 @@
 				begin(c, r)
 				return
 			}
-			stream(endOfStream, "1")(c, r)
+			respondStream(lastChunk, "1")(c, r)
 		}
 	}
-	list := route(kind, attempts)
+	list := singleRoute(kind, attempts)
 	list[0].Resumable = true
-	s = newSite(t, list, scripts...)
+	s = newTestServer(t, list, scripts...)
 	s.guarded()
 	return s
 }
@@ -123,38 +123,38 @@
 		name     string
 		kind     routes.Kind
 		attempts int
-		begin    answerer
+		begin    responder
 		// asks until the first refusal.
 		asks int
 	}{
-		{"one attempt an exchange", routes.NonIdempotent, 1, hangUp, 3},
-		{"two attempts", routes.Idempotent, 2, hangUp, 2},
-		{"attempts without end", routes.Idempotent, 9, hangUp, 1},
-		{"a stream that never begins", routes.Streaming, 1, hangUp, 3},
-		{"a stream that goes on elsewhere", routes.Streaming, 9, stream("", "1"), 1},
+		{"one attempt an exchange", routes.NonIdempotent, 1, closeConn, 3},
+		{"two attempts", routes.Idempotent, 2, closeConn, 2},
+		{"attempts without end", routes.Idempotent, 9, closeConn, 1},
+		{"a stream that never begins", routes.Streaming, 1, closeConn, 3},
+		{"a stream that goes on elsewhere", routes.Streaming, 9, respondStream("", "1"), 1},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			s := crashingSite(t, row.kind, row.attempts, 9, row.begin)
 			for n := range row.asks {
-				if resp, body, err := s.ask(s.request("POST", "/r/x", "poison")); err == nil && strings.Contains(body, apierror.CodeQuarantined) {
+				if resp, body, err := s.do(s.newRequest("POST", "/r/x", "poison")); err == nil && strings.Contains(body, apierror.CodeQuarantined) {
 					t.Errorf("ask %d: %v", n, resp.Status)
 				}
 				s.gateway.crashProbes.settled(t)
 			}
-			if got := s.runs(); got != 3 {
+			if got := s.requestCount(); got != 3 {
 				t.Errorf("it reached %d endpoints, want 3", got)
 			}
-			resp, body, err := s.ask(s.request("POST", "/r/x", "poison"))
+			resp, body, err := s.do(s.newRequest("POST", "/r/x", "poison"))
 			if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" ||
 				!strings.Contains(body, apierror.CodeQuarantined) || !strings.Contains(body, `"ran":"no"`) {
 				t.Errorf("its caller got %v %v %s", resp, err, body)
 			}
-			if got := s.runs(); got != 3 {
+			if got := s.requestCount(); got != 3 {
 				t.Errorf("it reached %d endpoints when it was refused", got)
 			}
-			for _, other := range []*http.Request{s.request("POST", "/r/x", "other"), s.request("POST", "/r/y", "other"), s.request("PUT", "/r/x", "other")} {
-				if resp, _, err := s.ask(other); err != nil || resp.StatusCode != http.StatusOK {
+			for _, other := range []*http.Request{s.newRequest("POST", "/r/x", "other"), s.newRequest("POST", "/r/y", "other"), s.newRequest("PUT", "/r/x", "other")} {
+				if resp, _, err := s.do(other); err != nil || resp.StatusCode != http.StatusOK {
 					t.Errorf("another request got %v %v", resp, err)
 				}
 			}
@@ -179,32 +179,32 @@
 
 // TestLostAnswersAreNoCrashes guards against a request being refused whose answers were lost at one endpoint after the other.
 func TestLostAnswersAreNoCrashes(t *testing.T) {
-	s := newSite(t, route(routes.Idempotent, 9), hangUp, hangUp, hangUp, hangUp)
+	s := newTestServer(t, singleRoute(routes.Idempotent, 9), closeConn, closeConn, closeConn, closeConn)
 	guard := s.guarded()
-	s.ask(s.request("POST", "/r/x", "b"))
+	s.do(s.newRequest("POST", "/r/x", "b"))
 	s.server.Close()
 	s.gateway.crashProbes.wait()
-	if s.runs() != 4 || !guard.IsIdle() {
-		t.Errorf("%d runs, idle %v", s.runs(), guard.IsIdle())
+	if s.requestCount() != 4 || !guard.IsIdle() {
+		t.Errorf("%d runs, idle %v", s.requestCount(), guard.IsIdle())
 	}
 }
 
 // TestFullEndpointsDoNotWasteATrial guards against a request that stays in quarantine because the first endpoint of its only
 // trial was full.
 func TestFullEndpointsDoNotWasteATrial(t *testing.T) {
-	play := inTurn(reject, say(200, "a"))
-	s := newSite(t, route(routes.NonIdempotent, 2), play, play)
+	play := firstThen(reject, respond(200, "a"))
+	s := newTestServer(t, singleRoute(routes.NonIdempotent, 2), play, play)
 	guard := s.guarded()
 	later := time.Now()
 	guard.Now = func() time.Time { return later }
 	key := fingerprint.Of(fingerprint.Request{Customer: "club", Host: "h", Method: "POST", Target: "/r/x"}, []byte("b"))
 	guard.Book.Merge(quarantine.Case{Key: key, Level: 1, Until: later.Add(time.Second)}, later)
-	if resp, _, err := s.ask(s.request("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
+	if resp, _, err := s.do(s.newRequest("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("in quarantine: %v %v", resp, err)
 	}
 	later = later.Add(2 * time.Second)
 	for _, when := range []string{"on trial", "after it"} {
-		if resp, _, err := s.ask(s.request("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusOK {
+		if resp, _, err := s.do(s.newRequest("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusOK {
 			t.Errorf("%s: %v %v", when, resp, err)
 		}
 	}
@@ -238,12 +238,12 @@
 	rows := []struct {
 		name  string
 		kind  routes.Kind
-		begin answerer
+		begin responder
 	}{
-		{"not repeatable", routes.NonIdempotent, hangUp},
-		{"repeatable", routes.Idempotent, hangUp},
-		{"a stream", routes.Streaming, hangUp},
-		{"a stream without events", routes.Streaming, stream("")},
+		{"not repeatable", routes.NonIdempotent, closeConn},
+		{"repeatable", routes.Idempotent, closeConn},
+		{"a stream", routes.Streaming, closeConn},
+		{"a stream without events", routes.Streaming, respondStream("")},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -253,15 +253,15 @@
 				blame()
 				untilClosed(c, r)
 			}
-			list := route(row.kind, 2)
+			list := singleRoute(row.kind, 2)
 			list[0].Timeout, list[0].Resumable = 5*time.Second, true
-			s := newSite(t, list, play, play)
+			s := newTestServer(t, list, play, play)
 			_, blame = crashesOf(s.guarded())
-			resp, body, err := s.ask(s.request("POST", "/r/x", "b"))
+			resp, body, err := s.do(s.newRequest("POST", "/r/x", "b"))
 			if err != nil || resp.StatusCode != http.StatusBadGateway || !strings.Contains(body, apierror.CodeOutcomeUnknown) {
 				t.Errorf("its caller got %v %v %s", resp, err, body)
 			}
-			if got := s.runs(); got != 1 {
+			if got := s.requestCount(); got != 1 {
 				t.Errorf("it reached %d endpoints, want 1", got)
 			}
 		})
@@ -271,13 +271,13 @@
 // TestStreamThatHasBegunIsNotCalledBack guards against cutting a stream that its endpoint runs well.
 func TestStreamThatHasBegunIsNotCalledBack(t *testing.T) {
 	blamed := make(chan struct{})
-	s := newSite(t, route(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
-		stream("", "1")(c, r)
+	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
+		respondStream("", "1")(c, r)
 		<-blamed
-		io.WriteString(c, endOfStream)
+		io.WriteString(c, lastChunk)
 	})
 	_, blame := crashesOf(s.guarded())
-	resp, err := s.server.Client().Do(s.request("POST", "/r/x", "b"))
+	resp, err := s.server.Client().Do(s.newRequest("POST", "/r/x", "b"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,18 +296,18 @@
 // TestTrialIsNotCalledBack guards against a trial ended by old evidence, of which this process hears late.
 func TestTrialIsNotCalledBack(t *testing.T) {
 	var blame func()
-	var s *site
-	s = newSite(t, route(routes.NonIdempotent, 1), func(c net.Conn, r *http.Request) {
+	var s *testServer
+	s = newTestServer(t, singleRoute(routes.NonIdempotent, 1), func(c net.Conn, r *http.Request) {
 		blame()
 		s.gateway.waitingRuns.settled()
-		say(200, "a")(c, r)
+		respond(200, "a")(c, r)
 	})
 	guard := s.guarded()
 	var key fingerprint.Key
 	key, blame = crashesOf(guard)
 	now := time.Now()
 	guard.Book.Merge(quarantine.Case{Key: key, Level: 1, Until: now}, now)
-	if resp, _, err := s.ask(s.request("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusOK {
+	if resp, _, err := s.do(s.newRequest("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("%v %v", resp, err)
 	}
 }
@@ -328,30 +328,30 @@
 // TestRejectedRequestStaysBlamed guards against a request that goes on to another endpoint after a full one has rejected it,
 // though it is to blame by then.
 func TestRejectedRequestStaysBlamed(t *testing.T) {
-	s := newSite(t, route(routes.NonIdempotent, 2), reject, reject)
+	s := newTestServer(t, singleRoute(routes.NonIdempotent, 2), reject, reject)
 	_, blame := crashesOf(s.guarded())
 	s.gateway.Codec = codecAtReply{s.gateway.Codec, blame}
-	resp, body, err := s.ask(s.request("POST", "/r/x", "b"))
+	resp, body, err := s.do(s.newRequest("POST", "/r/x", "b"))
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, `"ran":"no"`) {
 		t.Errorf("its caller got %v %v %s", resp, err, body)
 	}
-	if got := s.runs(); got != 1 {
+	if got := s.requestCount(); got != 1 {
 		t.Errorf("it reached %d endpoints, want 1", got)
 	}
 }
 
 // TestLateRunsOfACrashCount guards against a culprit going free whose own connection is the last to be seen closed.
 func TestLateRunsOfACrashCount(t *testing.T) {
-	s := newSite(t, route(routes.NonIdempotent, 1), hangUp)
+	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), closeConn)
 	guard := s.guarded()
 	s.endpoints[0].listener.Close()
 	instance, _ := s.gateway.State.Instance("i-0")
 	sent := time.Now()
 	broken := func(path string) (*crashProbe, fingerprint.Key) {
-		x := &exchange{g: s.gateway, r: s.request("POST", path, ""), service: &routes.Service{Name: "s"}}
+		x := &exchange{g: s.gateway, r: s.newRequest("POST", path, ""), service: &routes.Service{Name: "s"}}
 		x.r.RequestURI = path
 		choice := routing.Choice{Member: fleet.Member{ID: instance.ID, Incarnation: 7}}
-		return x.probeCrash(choice, outcome{verdict: broken, err: io.ErrUnexpectedEOF}, sent), x.fingerprint()
+		return x.probeCrash(choice, outcome{kind: broken, err: io.ErrUnexpectedEOF}, sent), x.fingerprint()
 	}
 	for _, path := range []string{"/r/first", "/r/late"} {
 		in, key := broken(path)
--- a/internal/coordination/gateway/ending.go
+++ b/internal/coordination/gateway/ending.go
@@ -81,7 +81,7 @@
 	if x.stopping() {
 		return x.cutShort()
 	}
-	switch last.verdict {
+	switch last.kind {
 	case notReached, rejected:
 		// The last attempt did not run, but an earlier one may have.
 		if x.noneRan() {
--- a/internal/coordination/gateway/ending_test.go
+++ b/internal/coordination/gateway/ending_test.go
@@ -32,30 +32,30 @@
 		name      string
 		kind      routes.Kind
 		resumable bool
-		endpoint  answerer
+		endpoint  responder
 		status    int
 		body      string
 	}{
-		{"failed", routes.Idempotent, false, say(500, "sorry"), 500, "sorry"},
-		{"failed with a status that callers may hear", routes.Idempotent, false, say(503, "busy"), 503, "busy"},
-		{"a stream that failed before it began", routes.Streaming, true, say(500, "sorry"), 500, "sorry"},
-		{"broken", routes.Idempotent, false, hangUp, 502, ""},
+		{"failed", routes.Idempotent, false, respond(500, "sorry"), 500, "sorry"},
+		{"failed with a status that callers may hear", routes.Idempotent, false, respond(503, "busy"), 503, "busy"},
+		{"a stream that failed before it began", routes.Streaming, true, respond(500, "sorry"), 500, "sorry"},
+		{"broken", routes.Idempotent, false, closeConn, 502, ""},
 		{"rejected", routes.Idempotent, false, reject, 503, ""},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			list := route(row.kind, 3)
+			list := singleRoute(row.kind, 3)
 			list[0].Resumable = row.resumable
-			s := newSite(t, list, row.endpoint)
-			resp, body, err := s.ask(s.request("POST", "/r/x", "order"))
+			s := newTestServer(t, list, row.endpoint)
+			resp, body, err := s.do(s.newRequest("POST", "/r/x", "order"))
 			if err != nil || resp.StatusCode != row.status {
 				t.Fatalf("the caller got %v, %v; want status %d", resp, err, row.status)
 			}
 			if row.body != "" && (body != row.body || resp.Header.Get("Stamp") != fmt.Sprint(row.status)) {
 				t.Errorf("%q, stamp %q", body, resp.Header.Get("Stamp"))
 			}
-			if attempts := metrics.GetOrRegisterCounter("gateway.attempts.not_reached", s.gateway.Metrics).Count(); attempts != 0 || s.runs() != 1 {
-				t.Errorf("the endpoint got %d requests, and %d attempts went nowhere; want 1 and none", s.runs(), attempts)
+			if attempts := metrics.GetOrRegisterCounter("gateway.attempts.not_reached", s.gateway.Metrics).Count(); attempts != 0 || s.requestCount() != 1 {
+				t.Errorf("the endpoint got %d requests, and %d attempts went nowhere; want 1 and none", s.requestCount(), attempts)
 			}
 		})
 	}
@@ -70,13 +70,13 @@
 func TestCallerThatStopsSendingGetsNoEmptyAnswer(t *testing.T) {
 	untilLeft := func(c net.Conn, r *http.Request) { io.Copy(io.Discard, c) }
 	begins := func(c net.Conn, r *http.Request) {
-		stream("", "1")(c, r)
+		respondStream("", "1")(c, r)
 		untilLeft(c, r)
 	}
 	rows := []struct {
 		name     string
 		kind     routes.Kind
-		endpoint answerer
+		endpoint responder
 		// before is what the caller has read when it stops sending.
 		before string
 	}{
@@ -88,7 +88,7 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			arrived, told := make(chan struct{}), make(chan struct{})
-			s := newSite(t, route(row.kind, 2), func(c net.Conn, r *http.Request) {
+			s := newTestServer(t, singleRoute(row.kind, 2), func(c net.Conn, r *http.Request) {
 				close(arrived)
 				row.endpoint(c, r)
 				close(told)
@@ -98,7 +98,7 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			fmt.Fprintf(c, "POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\nContent-Length: 2\r\n\r\nab", testID, testKey)
+			fmt.Fprintf(c, "POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\nContent-Length: 2\r\n\r\nab", headerID, headerKey)
 			<-arrived
 			reader := bufio.NewReader(c)
 			read := ""
@@ -115,7 +115,7 @@
 			if row.before == "" && len(rest) > 0 {
 				t.Errorf("the caller got an answer that nobody gave: %q", rest)
 			}
-			if strings.HasSuffix(string(rest), endOfStream) {
+			if strings.HasSuffix(string(rest), lastChunk) {
 				t.Errorf("the stream ends as if it were whole: %q", rest)
 			}
 			<-told
@@ -129,9 +129,9 @@
 // the caller must get it: it tells what went wrong, and 504 with an unknown outcome does not.
 func TestKeptFailureGoesOutWhenTheTimeIsUp(t *testing.T) {
 	silent := func(c net.Conn, r *http.Request) { io.Copy(io.Discard, c) }
-	play := inTurn(say(500, "sorry"), silent)
-	s := newSite(t, route(routes.Idempotent, 2), play, play)
-	resp, body, err := s.ask(s.request("POST", "/r/x", "x", testLeft+": 200"))
+	play := firstThen(respond(500, "sorry"), silent)
+	s := newTestServer(t, singleRoute(routes.Idempotent, 2), play, play)
+	resp, body, err := s.do(s.newRequest("POST", "/r/x", "x", headerTimeLeft+": 200"))
 	if err != nil || resp.StatusCode != 500 || body != "sorry" {
 		t.Errorf("%v %q %v, want the endpoint's own 500", resp, body, err)
 	}
@@ -147,21 +147,21 @@
 	rows := []struct {
 		name   string
 		kind   routes.Kind
-		answer answerer
+		answer responder
 		status int
 		whole  bool
 	}{
-		{"a stream's failure", routes.Streaming, say(400, long), 400, true},
-		{"no stream at all", routes.Streaming, say(201, long), 201, true},
-		{"503 after running", routes.NonIdempotent, say(503, long), 502, false},
-		{"429 after running", routes.NonIdempotent, say(429, long), 502, false},
-		{"a stream's 503 after running", routes.Streaming, say(503, long), 502, false},
-		{"503 of what may be repeated", routes.Idempotent, say(503, long), 503, true},
+		{"a stream's failure", routes.Streaming, respond(400, long), 400, true},
+		{"no stream at all", routes.Streaming, respond(201, long), 201, true},
+		{"503 after running", routes.NonIdempotent, respond(503, long), 502, false},
+		{"429 after running", routes.NonIdempotent, respond(429, long), 502, false},
+		{"a stream's 503 after running", routes.Streaming, respond(503, long), 502, false},
+		{"503 of what may be repeated", routes.Idempotent, respond(503, long), 503, true},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			s := newSite(t, route(row.kind, 1), row.answer)
-			resp, body, err := s.ask(s.request("POST", "/r/x", "order"))
+			s := newTestServer(t, singleRoute(row.kind, 1), row.answer)
+			resp, body, err := s.do(s.newRequest("POST", "/r/x", "order"))
 			if err != nil || resp.StatusCode != row.status || (body == long) != row.whole {
 				t.Errorf("%v, %d bytes of %d, %v; want %d", resp, len(body), len(long), err, row.status)
 			}
@@ -176,31 +176,31 @@
 // would begin anew, and the caller would read both as one answer. The connection must break.
 func TestBegunAnswerIsNotJoinedToAnother(t *testing.T) {
 	torn := func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 201 X\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", testID, r.Header.Get(testID), 2*maxBuffered, strings.Repeat("b", maxBuffered))
+		fmt.Fprintf(c, "HTTP/1.1 201 X\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", headerID, r.Header.Get(headerID), 2*maxBuffered, strings.Repeat("b", maxBuffered))
 	}
-	rows := map[string]answerer{
-		"events without ids":       breaksAfter("data: one\n\n"),
-		"an event without id last": breaksAfter("id: 1\ndata: 1\n\ndata: two\n\n"),
+	rows := map[string]responder{
+		"events without ids":       respondTruncatedStream("data: one\n\n"),
+		"an event without id last": respondTruncatedStream("id: 1\ndata: 1\n\ndata: two\n\n"),
 		"no stream":                torn,
 	}
 	for name, first := range rows {
 		t.Run(name, func(t *testing.T) {
-			list := route(routes.Streaming, 2)
+			list := singleRoute(routes.Streaming, 2)
 			list[0].Resumable = true
-			play := inTurn(first, stream(endOfStream, "1", "2"))
-			s := newSite(t, list, play, play)
-			_, body, err := s.ask(s.request("POST", "/r/x", "prompt"))
-			if err == nil || s.runs() != 1 {
-				t.Errorf("%d runs, the caller got %d bytes that end in %q, %v", s.runs(), len(body), body[max(0, len(body)-40):], err)
+			play := firstThen(first, respondStream(lastChunk, "1", "2"))
+			s := newTestServer(t, list, play, play)
+			_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
+			if err == nil || s.requestCount() != 1 {
+				t.Errorf("%d runs, the caller got %d bytes that end in %q, %v", s.requestCount(), len(body), body[max(0, len(body)-40):], err)
 			}
 		})
 	}
 }
 
-// breaksAfter begins a stream with text and breaks it off.
-func breaksAfter(text string) answerer {
+// respondTruncatedStream begins a stream with text and breaks it off.
+func respondTruncatedStream(text string) responder {
 	return func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", testID, r.Header.Get(testID), len(text), text)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", headerID, r.Header.Get(headerID), len(text), text)
 	}
 }
 
@@ -213,18 +213,18 @@
 		{one + comment, one + comment + two},
 	}
 	for _, row := range rows {
-		list := route(routes.Streaming, 2)
+		list := singleRoute(routes.Streaming, 2)
 		list[0].Resumable = true
 		goesOn := func(c net.Conn, r *http.Request) {
-			if r.Header.Get(testLast) == "1" {
-				stream(endOfStream, "2")(c, r)
+			if r.Header.Get(headerLastEvent) == "1" {
+				respondStream(lastChunk, "2")(c, r)
 				return
 			}
-			stream(endOfStream, "1", "2")(c, r)
+			respondStream(lastChunk, "1", "2")(c, r)
 		}
-		play := inTurn(breaksAfter(row.begun), goesOn)
-		s := newSite(t, list, play, play)
-		_, body, err := s.ask(s.request("POST", "/r/x", "prompt"))
+		play := firstThen(respondTruncatedStream(row.begun), goesOn)
+		s := newTestServer(t, list, play, play)
+		_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 		if err != nil || body != row.whole {
 			t.Errorf("after %q the caller got %q, %v; want %q", row.begun, body, err, row.whole)
 		}
@@ -236,11 +236,11 @@
 //
 // The first one's failure is ready and tells what went wrong: it goes out, not 502.
 func TestKeptFailureIsNotDisplaced(t *testing.T) {
-	list := route(routes.Streaming, 2)
+	list := singleRoute(routes.Streaming, 2)
 	list[0].Resumable = true
-	play := inTurn(say(500, "sorry"), say(503, "busy"))
-	s := newSite(t, list, play, play)
-	resp, body, err := s.ask(s.request("POST", "/r/x", "prompt"))
+	play := firstThen(respond(500, "sorry"), respond(503, "busy"))
+	s := newTestServer(t, list, play, play)
+	resp, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 	if err != nil || resp.StatusCode != 500 || body != "sorry" {
 		t.Errorf("%v %q %v, want the first endpoint's 500", resp, body, err)
 	}
@@ -254,9 +254,9 @@
 	for _, kind := range []routes.Kind{routes.Idempotent, routes.NonIdempotent} {
 		// Which endpoint is asked first is chance: most of these meet the one that rejects.
 		for range 10 {
-			s := newSite(t, route(kind, 3), reject)
+			s := newTestServer(t, singleRoute(kind, 3), reject)
 			s.gateway.State.SetInstance(discovery.Instance{ID: "nobody", Revision: 9, Service: "s", Address: "127.0.0.1:1", Domain: "a", Slots: 4})
-			resp, body, err := s.ask(s.request("POST", "/r/x", "order"))
+			resp, body, err := s.do(s.newRequest("POST", "/r/x", "order"))
 			if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 				t.Fatalf("%v %q %v, want 503 and a time to come back", resp, body, err)
 			}
@@ -270,10 +270,10 @@
 // it up without a single retry, and requests of other services would not be retried.
 func TestLastEndpointSpendsNoRetryBudget(t *testing.T) {
 	// The fake endpoint closes its connection after an answer: it must not be used again.
-	s := newSite(t, route(routes.Idempotent, 3), say(500, "sorry"))
+	s := newTestServer(t, singleRoute(routes.Idempotent, 3), respond(500, "sorry"))
 	s.gateway.RetryBudget = runs.NewRetryBudget(0, 5)
 	for range 10 {
-		if resp, _, err := s.ask(s.request("POST", "/r/x", "order")); err != nil || resp.StatusCode != 500 {
+		if resp, _, err := s.do(s.newRequest("POST", "/r/x", "order")); err != nil || resp.StatusCode != 500 {
 			t.Fatalf("%v %v", resp, err)
 		}
 	}
@@ -289,10 +289,10 @@
 // TestBudgetUsedUpGivesTheEndpointBack fails a request when no retry may be made: the endpoint chosen for
 // one must not stay booked as if it were at work.
 func TestBudgetUsedUpGivesTheEndpointBack(t *testing.T) {
-	s := newSite(t, route(routes.Idempotent, 3), say(500, "sorry"), say(500, "sorry"))
+	s := newTestServer(t, singleRoute(routes.Idempotent, 3), respond(500, "sorry"), respond(500, "sorry"))
 	s.gateway.RetryBudget = runs.NewRetryBudget(0, 0)
-	if resp, _, err := s.ask(s.request("POST", "/r/x", "order")); err != nil || resp.StatusCode != 500 || s.runs() != 1 {
-		t.Fatalf("%v %v, %d runs", resp, err, s.runs())
+	if resp, _, err := s.do(s.newRequest("POST", "/r/x", "order")); err != nil || resp.StatusCode != 500 || s.requestCount() != 1 {
+		t.Fatalf("%v %v, %d runs", resp, err, s.requestCount())
 	}
 	for _, w := range s.gateway.Directory.OwnWork() {
 		if w.Running != 0 {
@@ -308,20 +308,20 @@
 // ran and that it may come back.
 func TestBodyThatDoesNotComeInTime(t *testing.T) {
 	for _, head := range []string{"Content-Length: 4\r\n\r\nab", "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n"} {
-		s := newSite(t, route(routes.NonIdempotent, 1), say(201, "whole"))
+		s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), respond(201, "whole"))
 		c, err := net.Dial("tcp", s.server.Listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		fmt.Fprintf(c, "POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n%s: 100\r\n%s", testID, testKey, testLeft, head)
+		fmt.Fprintf(c, "POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n%s: 100\r\n%s", headerID, headerKey, headerTimeLeft, head)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		body, err := io.ReadAll(resp.Body)
-		if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || s.runs() != 0 {
-			t.Errorf("%v %q %v, %d runs", resp, body, err, s.runs())
+		if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || s.requestCount() != 0 {
+			t.Errorf("%v %q %v, %d runs", resp, body, err, s.requestCount())
 		}
 	}
 }
@@ -329,11 +329,11 @@
 // TestNothingIsKeptForACallerThatLeft decides on an ending when a failure is kept and its caller has just
 // left: told as an answer, the request's line and counters would name one that nobody got.
 func TestNothingIsKeptForACallerThatLeft(t *testing.T) {
-	s := newSite(t, route(routes.Idempotent, 2))
+	s := newTestServer(t, singleRoute(routes.Idempotent, 2))
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
-	x := &exchange{g: s.gateway, r: s.request("GET", "/r/x", "").WithContext(ctx), failed: &buffered{status: 500}}
-	if end := x.final(outcome{verdict: answeredFailure}, 1); end.how != endCallerLeft {
+	x := &exchange{g: s.gateway, r: s.newRequest("GET", "/r/x", "").WithContext(ctx), failed: &buffered{status: 500}}
+	if end := x.final(outcome{kind: answeredFailure}, 1); end.how != endCallerLeft {
 		t.Errorf("the exchange ends as %d, want %d", end.how, endCallerLeft)
 	}
 }
@@ -356,14 +356,14 @@
 // middle of long answers.
 func TestCallersBrokenConnectionIsNoFailureOfTheEndpoint(t *testing.T) {
 	for left := range 2 {
-		s := newSite(t, route(routes.Idempotent, 2), say(200, strings.Repeat("b", 2*maxBuffered)))
+		s := newTestServer(t, singleRoute(routes.Idempotent, 2), respond(200, strings.Repeat("b", 2*maxBuffered)))
 		x := &exchange{
 			g: s.gateway, w: &deafWriter{httptest.NewRecorder(), left}, r: httptest.NewRequest("GET", "/r/x", nil),
 			began: time.Now(), deadline: time.Now().Add(time.Minute),
 		}
 		x.r.Host = "h"
-		x.r.Header.Set(testID, "id-1")
-		x.r.Header.Set(testKey, "key")
+		x.r.Header.Set(headerID, "id-1")
+		x.r.Header.Set(headerKey, "key")
 		if refusal := x.prepare(); refusal != nil {
 			t.Fatal(refusal)
 		}
@@ -375,23 +375,23 @@
 
 // TestWhatCannotGoOnIsPassedOver guards against a resumed stream that ends as its next endpoint fails, while another may go on.
 func TestWhatCannotGoOnIsPassedOver(t *testing.T) {
-	rows := map[string]answerer{
-		"failure":             say(500, "sorry"),
-		"busy after running":  say(503, "busy"),
+	rows := map[string]responder{
+		"failure":             respond(500, "sorry"),
+		"busy after running":  respond(503, "busy"),
 		"rejected":            reject,
-		"no stream":           say(201, "made"),
-		"closed":              hangUp,
-		"cut inside an event": raw("200 OK", "", "id: 2\nda"),
+		"no stream":           respond(201, "made"),
+		"closed":              closeConn,
+		"cut inside an event": respondRaw("200 OK", "", "id: 2\nda"),
 	}
 	for name, second := range rows {
 		t.Run(name, func(t *testing.T) {
-			list := route(routes.Streaming, 3)
+			list := singleRoute(routes.Streaming, 3)
 			list[0].Resumable = true
-			play := inTurn(stream("", "1"), inTurn(second, stream(endOfStream, "2", "3")))
-			s := newSite(t, list, play, play, play)
-			_, body, err := s.ask(s.request("POST", "/r/x", "prompt"))
-			if err != nil || events(body) != "1 2 3" || s.runs() != 3 {
-				t.Errorf("%d runs, %q, %v", s.runs(), body, err)
+			play := firstThen(respondStream("", "1"), firstThen(second, respondStream(lastChunk, "2", "3")))
+			s := newTestServer(t, list, play, play, play)
+			_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
+			if err != nil || eventIDs(body) != "1 2 3" || s.requestCount() != 3 {
+				t.Errorf("%d runs, %q, %v", s.requestCount(), body, err)
 			}
 		})
 	}
@@ -401,15 +401,15 @@
 // answers are.
 func TestAnswerThatIsNoStream(t *testing.T) {
 	const body, lines = `{"whole":true}`, "Content-Type: application/json"
-	rows := map[string]answerer{
-		"length":    say(200, body, lines),
-		"chunked":   raw("200 OK", lines+"\r\nTransfer-Encoding: chunked\r\n", fmt.Sprintf("%x\r\n%s\r\n%s", len(body), body, endOfStream)),
-		"no length": raw("200 OK", lines+"\r\n", body),
+	rows := map[string]responder{
+		"length":    respond(200, body, lines),
+		"chunked":   respondRaw("200 OK", lines+"\r\nTransfer-Encoding: chunked\r\n", fmt.Sprintf("%x\r\n%s\r\n%s", len(body), body, lastChunk)),
+		"no length": respondRaw("200 OK", lines+"\r\n", body),
 	}
 	for name, answer := range rows {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t, route(routes.Streaming, 1), answer)
-			resp, got, err := s.ask(s.request("POST", "/r/x", "prompt"))
+			s := newTestServer(t, singleRoute(routes.Streaming, 1), answer)
+			resp, got, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 			if err != nil || resp.StatusCode != 200 || got != body || resp.Header.Get("Content-Type") != "application/json" {
 				t.Errorf("%v %q %v", resp, got, err)
 			}
@@ -420,10 +420,10 @@
 // TestEndsOfOthersSayNothing guards against an endpoint that hangs and stays in use, as each caller that leaves it counts as a
 // success, and against one that is left out as this process ended its runs.
 func TestEndsOfOthersSayNothing(t *testing.T) {
-	fails := outcome{verdict: broken}
+	fails := outcome{kind: broken}
 	ends := []outcome{
-		{verdict: callerGone}, {verdict: stopped}, {verdict: calledBack}, {verdict: movedOn},
-		{verdict: broken, stopOrdered: true}, {verdict: timedOut, stopOrdered: true},
+		{kind: callerGone}, {kind: stopped}, {kind: calledBack}, {kind: movedOn},
+		{kind: broken, stopOrdered: true}, {kind: timedOut, stopOrdered: true},
 	}
 	for _, end := range ends {
 		if usesAfter(t, fails, fails, end, fails) {
@@ -437,8 +437,8 @@
 
 // usesAfter tells whether an endpoint is still chosen beside another after its attempts ended so.
 func usesAfter(t *testing.T, ends ...outcome) bool {
-	s := newSite(t, route(routes.Idempotent, 1), hangUp, hangUp)
-	x := &exchange{g: s.gateway, r: s.request("GET", "/r/x", ""), route: &route(routes.Idempotent, 1)[0], service: &routes.Service{Name: "s"}}
+	s := newTestServer(t, singleRoute(routes.Idempotent, 1), closeConn, closeConn)
+	x := &exchange{g: s.gateway, r: s.newRequest("GET", "/r/x", ""), route: &singleRoute(routes.Idempotent, 1)[0], service: &routes.Service{Name: "s"}}
 	request := x.routingRequest()
 	request.Exclude = []string{"i-1"}
 	for _, end := range ends {
--- a/internal/coordination/gateway/framing_test.go
+++ b/internal/coordination/gateway/framing_test.go
@@ -12,15 +12,15 @@
 	"limpetwall/internal/state/routes"
 )
 
-// raw answers with a status line, header lines and bytes as they are written here.
-func raw(status, lines, rest string) answerer {
+// respondRaw answers with a status line, header lines and bytes as they are written here.
+func respondRaw(status, lines, rest string) responder {
 	return func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 %s\r\n%s: %s\r\nStamp: 1\r\n%s\r\n%s", status, testID, r.Header.Get(testID), lines, rest)
+		fmt.Fprintf(c, "HTTP/1.1 %s\r\n%s: %s\r\nStamp: 1\r\n%s\r\n%s", status, headerID, r.Header.Get(headerID), lines, rest)
 	}
 }
 
-// afterwards does something to a connection when its answer has been written.
-func afterwards(play answerer, do func(c *net.TCPConn)) answerer {
+// respondThen does something to a connection when its answer has been written.
+func respondThen(play responder, do func(c *net.TCPConn)) responder {
 	return func(c net.Conn, r *http.Request) {
 		play(c, r)
 		do(c.(*net.TCPConn))
@@ -28,7 +28,7 @@
 }
 
 // keepOn answers request after request on one connection, until it ends.
-func keepOn(play answerer) answerer {
+func keepOn(play responder) responder {
 	return func(c net.Conn, r *http.Request) {
 		reader := bufio.NewReader(c)
 		for err := error(nil); err == nil; r, err = http.ReadRequest(reader) {
@@ -49,49 +49,49 @@
 	rows := []struct {
 		name   string
 		method string
-		answer answerer
+		answer responder
 		// status 0 stands for a connection that ends early.
 		status int
 		body   string
 	}{
-		{"length", "GET", raw("200 OK", "Content-Length: 5\r\n", "whole"), 200, "whole"},
-		{"length and close", "GET", raw("200 OK", "Content-Length: 5\r\nConnection: close\r\n", "whole"), 200, "whole"},
-		{"length twice, the same", "GET", raw("200 OK", "Content-Length: 5\r\nContent-Length: 5\r\n", "whole"), 200, "whole"},
-		{"length twice, not the same", "GET", raw("200 OK", "Content-Length: 5\r\nContent-Length: 4\r\n", "whole"), 502, ""},
-		{"length 0", "GET", raw("200 OK", "Content-Length: 0\r\n", ""), 200, ""},
-		{"more than the length", "GET", raw("200 OK", "Content-Length: 5\r\n", "whole and more"), 200, "whole"},
-		{"cut inside the length", "GET", afterwards(raw("200 OK", "Content-Length: 5\r\n", "who"), end), 502, ""},
-		{"no length, ended", "GET", afterwards(raw("200 OK", "", "whole"), end), 200, "whole"},
-		{"no length, empty, ended", "GET", afterwards(raw("200 OK", "", ""), end), 200, ""},
-		{"no length, reset", "GET", afterwards(raw("200 OK", "", "half"), reset), 502, ""},
-		{"chunked", "GET", raw("200 OK", "Transfer-Encoding: chunked\r\n", chunked("whole")+endOfStream), 200, "whole"},
-		{"chunked, empty", "GET", raw("200 OK", "Transfer-Encoding: chunked\r\n", endOfStream), 200, ""},
-		{"chunked, cut between chunks", "GET", afterwards(raw("200 OK", "Transfer-Encoding: chunked\r\n", chunked("half")), end), 502, ""},
-		{"chunked, cut in its end", "GET", afterwards(raw("200 OK", "Transfer-Encoding: chunked\r\n", chunked("half")+"0\r\n"), end), 502, ""},
-		{"interim answer first", "GET", raw("103 Early Hints", "\r\nHTTP/1.1 200 OK\r\n"+testID+": id-1\r\nStamp: 1\r\nContent-Length: 5\r\n", "whole"), 200, "whole"},
-		{"HEAD with a length", "HEAD", raw("200 OK", "Content-Length: 5\r\n", ""), 200, ""},
-		{"HEAD without", "HEAD", raw("200 OK", "", ""), 200, ""},
-		{"HEAD chunked", "HEAD", raw("200 OK", "Transfer-Encoding: chunked\r\n", ""), 200, ""},
-		{"204", "GET", raw("204 No Content", "", ""), 204, ""},
-		{"204 with a length", "GET", raw("204 No Content", "Content-Length: 0\r\n", ""), 204, ""},
-		{"304", "GET", raw("304 Not Modified", "", ""), 304, ""},
-		{"304 with the length of what it stands for", "GET", raw("304 Not Modified", "Content-Length: 5\r\n", ""), 304, ""},
-		{"205", "GET", raw("205 Reset Content", "Content-Length: 0\r\n", ""), 205, ""},
-		{"status without a reason", "GET", raw("299", "Content-Length: 5\r\n", "whole"), 299, "whole"},
-		{"status of four digits", "GET", raw("2000 OK", "Content-Length: 5\r\n", "whole"), 502, ""},
-		{"status 101", "GET", afterwards(raw("101 Switching Protocols", "Upgrade: x\r\nConnection: upgrade\r\n", ""), end), 502, ""},
-		{"as long as is kept", "GET", raw("200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(long)), long), 200, long},
-		{"as long as is kept, no length", "GET", afterwards(raw("200 OK", "", long), end), 200, long},
-		{"longer, no length", "GET", afterwards(raw("200 OK", "", long+"more"), end), 200, long + "more"},
-		{"longer, chunked", "GET", raw("200 OK", "Transfer-Encoding: chunked\r\n", chunked(long)+chunked("more")+endOfStream), 200, long + "more"},
-		{"longer, length", "GET", raw("200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(long)+4), long+"more"), 200, long + "more"},
-		{"longer, cut inside the length", "GET", afterwards(raw("200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(long)+5), long+"more"), end), 0, ""},
-		{"longer, chunked and cut", "GET", afterwards(raw("200 OK", "Transfer-Encoding: chunked\r\n", chunked(long)+chunked("more")), end), 0, ""},
+		{"length", "GET", respondRaw("200 OK", "Content-Length: 5\r\n", "whole"), 200, "whole"},
+		{"length and close", "GET", respondRaw("200 OK", "Content-Length: 5\r\nConnection: close\r\n", "whole"), 200, "whole"},
+		{"length twice, the same", "GET", respondRaw("200 OK", "Content-Length: 5\r\nContent-Length: 5\r\n", "whole"), 200, "whole"},
+		{"length twice, not the same", "GET", respondRaw("200 OK", "Content-Length: 5\r\nContent-Length: 4\r\n", "whole"), 502, ""},
+		{"length 0", "GET", respondRaw("200 OK", "Content-Length: 0\r\n", ""), 200, ""},
+		{"more than the length", "GET", respondRaw("200 OK", "Content-Length: 5\r\n", "whole and more"), 200, "whole"},
+		{"cut inside the length", "GET", respondThen(respondRaw("200 OK", "Content-Length: 5\r\n", "who"), end), 502, ""},
+		{"no length, ended", "GET", respondThen(respondRaw("200 OK", "", "whole"), end), 200, "whole"},
+		{"no length, empty, ended", "GET", respondThen(respondRaw("200 OK", "", ""), end), 200, ""},
+		{"no length, reset", "GET", respondThen(respondRaw("200 OK", "", "half"), reset), 502, ""},
+		{"chunked", "GET", respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", chunked("whole")+lastChunk), 200, "whole"},
+		{"chunked, empty", "GET", respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", lastChunk), 200, ""},
+		{"chunked, cut between chunks", "GET", respondThen(respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", chunked("half")), end), 502, ""},
+		{"chunked, cut in its end", "GET", respondThen(respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", chunked("half")+"0\r\n"), end), 502, ""},
+		{"interim answer first", "GET", respondRaw("103 Early Hints", "\r\nHTTP/1.1 200 OK\r\n"+headerID+": id-1\r\nStamp: 1\r\nContent-Length: 5\r\n", "whole"), 200, "whole"},
+		{"HEAD with a length", "HEAD", respondRaw("200 OK", "Content-Length: 5\r\n", ""), 200, ""},
+		{"HEAD without", "HEAD", respondRaw("200 OK", "", ""), 200, ""},
+		{"HEAD chunked", "HEAD", respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", ""), 200, ""},
+		{"204", "GET", respondRaw("204 No Content", "", ""), 204, ""},
+		{"204 with a length", "GET", respondRaw("204 No Content", "Content-Length: 0\r\n", ""), 204, ""},
+		{"304", "GET", respondRaw("304 Not Modified", "", ""), 304, ""},
+		{"304 with the length of what it stands for", "GET", respondRaw("304 Not Modified", "Content-Length: 5\r\n", ""), 304, ""},
+		{"205", "GET", respondRaw("205 Reset Content", "Content-Length: 0\r\n", ""), 205, ""},
+		{"status without a reason", "GET", respondRaw("299", "Content-Length: 5\r\n", "whole"), 299, "whole"},
+		{"status of four digits", "GET", respondRaw("2000 OK", "Content-Length: 5\r\n", "whole"), 502, ""},
+		{"status 101", "GET", respondThen(respondRaw("101 Switching Protocols", "Upgrade: x\r\nConnection: upgrade\r\n", ""), end), 502, ""},
+		{"as long as is kept", "GET", respondRaw("200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(long)), long), 200, long},
+		{"as long as is kept, no length", "GET", respondThen(respondRaw("200 OK", "", long), end), 200, long},
+		{"longer, no length", "GET", respondThen(respondRaw("200 OK", "", long+"more"), end), 200, long + "more"},
+		{"longer, chunked", "GET", respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", chunked(long)+chunked("more")+lastChunk), 200, long + "more"},
+		{"longer, length", "GET", respondRaw("200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(long)+4), long+"more"), 200, long + "more"},
+		{"longer, cut inside the length", "GET", respondThen(respondRaw("200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(long)+5), long+"more"), end), 0, ""},
+		{"longer, chunked and cut", "GET", respondThen(respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", chunked(long)+chunked("more")), end), 0, ""},
 	}
 	for _, kind := range []routes.Kind{routes.Idempotent, routes.NonIdempotent} {
 		for _, row := range rows {
 			t.Run(kind.String()+" "+row.name, func(t *testing.T) {
-				s := newSite(t, route(kind, 1), keepOn(row.answer))
+				s := newTestServer(t, singleRoute(kind, 1), keepOn(row.answer))
 				c, err := net.Dial("tcp", s.server.Listener.Addr().String())
 				if err != nil {
 					t.Fatal(err)
@@ -100,7 +100,7 @@
 				reader := bufio.NewReader(c)
 				// The second request on the connection shows that the first answer ended where it should.
 				for n := range 2 {
-					fmt.Fprintf(c, "%s /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n\r\n", row.method, testID, testKey)
+					fmt.Fprintf(c, "%s /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n\r\n", row.method, headerID, headerKey)
 					resp, err := http.ReadResponse(reader, &http.Request{Method: row.method})
 					if err != nil {
 						t.Fatalf("request %d: %v", n, err)
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -29,17 +29,17 @@
 
 // Headers of the tests' own codec.
 const (
-	testID      = "T-Id"
-	testKey     = "T-Key"
-	testNotRun  = "T-Not-Run"
-	testTarget  = "T-Instance"
-	testLast    = "T-Last"
-	testTenant  = "T-Customer"
-	testLeft    = "T-Left"
-	testWeights = "T-Weights"
-	// testPart names the one shared part of a prompt.
-	testPart     = "T-Part"
-	testContinue = "T-Continue"
+	headerID        = "T-Id"
+	headerKey       = "T-Key"
+	headerNotRun    = "T-Not-Run"
+	headerInstance  = "T-Instance"
+	headerLastEvent = "T-Last"
+	headerCustomer  = "T-Customer"
+	headerTimeLeft  = "T-Left"
+	headerWeights   = "T-Weights"
+	// headerSegment names the one shared part of a prompt.
+	headerSegment      = "T-Part"
+	headerContinueFrom = "T-Continue"
 )
 
 type testCodec struct{}
@@ -48,37 +48,37 @@
 	if h.Get("T-Bad") != "" {
 		return Call{}, errors.New("T-Bad: is not accepted")
 	}
-	c := Call{ID: h.Get(testID), Key: h.Get(testKey), LastEvent: h.Get(testLast)}
-	if ms, err := strconv.Atoi(h.Get(testLeft)); err == nil {
+	c := Call{ID: h.Get(headerID), Key: h.Get(headerKey), LastEvent: h.Get(headerLastEvent)}
+	if ms, err := strconv.Atoi(h.Get(headerTimeLeft)); err == nil {
 		c.Deadline = time.Duration(ms) * time.Millisecond
 	}
-	if part := h.Get(testPart); part != "" {
+	if part := h.Get(headerSegment); part != "" {
 		c.Model, c.PromptTokens, c.Segments = "m", 100, []Segment{{ID: part, Tokens: 90}, {ID: "own", Tokens: 10}}
 	}
 	return c, nil
 }
 
 func (testCodec) EncodeAttempt(h http.Header, s Attempt) {
-	h.Del(testKey)
-	h.Set(testTarget, s.Instance)
-	h.Set(testTenant, s.Customer)
-	h.Set(testLast, s.LastEvent)
-	h.Set(testLeft, strconv.FormatInt(s.TimeLeft.Milliseconds(), 10))
-	h.Set(testWeights, strconv.FormatInt(s.Weights, 10))
-	h.Set(testContinue, s.ContinueFrom)
+	h.Del(headerKey)
+	h.Set(headerInstance, s.Instance)
+	h.Set(headerCustomer, s.Customer)
+	h.Set(headerLastEvent, s.LastEvent)
+	h.Set(headerTimeLeft, strconv.FormatInt(s.TimeLeft.Milliseconds(), 10))
+	h.Set(headerWeights, strconv.FormatInt(s.Weights, 10))
+	h.Set(headerContinueFrom, s.ContinueFrom)
 }
 
 func (testCodec) DecodeReply(status int, h http.Header) Reply {
-	weights, _ := strconv.ParseInt(h.Get(testWeights), 10, 64)
+	weights, _ := strconv.ParseInt(h.Get(headerWeights), 10, 64)
 	misdirected := status == http.StatusMisdirectedRequest
-	return Reply{ID: h.Get(testID), NotRun: misdirected || h.Get(testNotRun) != "", Misdirected: misdirected, Weights: weights}
+	return Reply{ID: h.Get(headerID), NotRun: misdirected || h.Get(headerNotRun) != "", Misdirected: misdirected, Weights: weights}
 }
 
 func (testCodec) EncodeRetryAfter(h http.Header, after time.Duration) {
 	h.Set("Retry-After", fmt.Sprint(after.Seconds()))
 }
 
-func (testCodec) EncodeID(h http.Header, id string) { h.Set(testID, id) }
+func (testCodec) EncodeID(h http.Header, id string) { h.Set(headerID, id) }
 
 // fakeEndpoint writes its answers itself, byte by byte. Its script is asked at
 // each request; what it returns is written as it is, and the connection closed.
@@ -92,31 +92,31 @@
 	bodies   []string
 }
 
-func (e *fakeEndpoint) count() int {
+func (e *fakeEndpoint) requestCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.requests)
 }
 
-// site is a gateway before fake endpoints.
-type site struct {
+// testServer is a gateway before fake endpoints.
+type testServer struct {
 	t         *testing.T
 	gateway   *Gateway
 	server    *httptest.Server
 	endpoints []*fakeEndpoint
 }
 
-// answerer is how an endpoint answers a request.
-type answerer func(c net.Conn, r *http.Request)
+// responder is how an endpoint answers a request.
+type responder func(c net.Conn, r *http.Request)
 
-func newSite(t *testing.T, list []routes.Route, scripts ...answerer) *site {
-	s := &site{t: t}
+func newTestServer(t *testing.T, list []routes.Route, scripts ...responder) *testServer {
+	s := &testServer{t: t}
 	log := zap.NewNop()
 	state := discovery.NewState(fleet.Member{ID: "self", Incarnation: 1, Version: 1, Domain: "a"}, log, time.Now(), func(*routes.Table) {})
 	state.SetRoutes(routes.New(1, 1, list, []routes.Service{{Name: "s"}}, []routes.Customer{{Name: "club", Keys: []string{"key"}}},
 		routes.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20}))
 	for i, script := range scripts {
-		e := s.endpoint(fmt.Sprint("i-", i), script)
+		e := s.startEndpoint(fmt.Sprint("i-", i), script)
 		state.SetInstance(discovery.Instance{ID: e.id, Revision: uint64(i + 2), Service: "s", Address: e.address, Domain: "a", Slots: 4})
 		s.endpoints = append(s.endpoints, e)
 	}
@@ -133,7 +133,7 @@
 	return s
 }
 
-func (s *site) endpoint(id string, script answerer) *fakeEndpoint {
+func (s *testServer) startEndpoint(id string, script responder) *fakeEndpoint {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
@@ -152,7 +152,7 @@
 	return e
 }
 
-func (e *fakeEndpoint) serve(c net.Conn, script answerer) {
+func (e *fakeEndpoint) serve(c net.Conn, script responder) {
 	defer c.Close()
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
@@ -168,11 +168,11 @@
 	script(c, r)
 }
 
-// say answers with a status, header lines and a body of declared length. It announces that the endpoint closes: a gateway that
-// sent its next request into the close could only say "unknown".
-func say(status int, body string, lines ...string) answerer {
+// respond answers with a status, header lines and a body of declared length. It announces that the endpoint closes: a gateway that
+// sent its next request into the close could only respond "unknown".
+func respond(status int, body string, lines ...string) responder {
 	return func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 %d X\r\n%s: %s\r\nStamp: %d\r\nConnection: close\r\nContent-Length: %d\r\n", status, testID, r.Header.Get(testID), status, len(body))
+		fmt.Fprintf(c, "HTTP/1.1 %d X\r\n%s: %s\r\nStamp: %d\r\nConnection: close\r\nContent-Length: %d\r\n", status, headerID, r.Header.Get(headerID), status, len(body))
 		for _, line := range lines {
 			fmt.Fprintf(c, "%s\r\n", line)
 		}
@@ -181,14 +181,14 @@
 }
 
 var (
-	reject = say(503, "", testNotRun+": 1")
-	hangUp = func(net.Conn, *http.Request) {}
+	reject    = respond(503, "", headerNotRun+": 1")
+	closeConn = func(net.Conn, *http.Request) {}
 )
 
-// stream answers with events; rest is written after them as it is.
-func stream(rest string, events ...string) answerer {
+// respondStream answers with events; rest is written after them as it is.
+func respondStream(rest string, events ...string) responder {
 	return func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nStamp: 200\r\nConnection: close\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", testID, r.Header.Get(testID))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nStamp: 200\r\nConnection: close\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", headerID, r.Header.Get(headerID))
 		for _, e := range events {
 			text := "id: " + e + "\ndata: " + e + "\n\n"
 			fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text)
@@ -197,11 +197,11 @@
 	}
 }
 
-const endOfStream = "0\r\n\r\n"
+const lastChunk = "0\r\n\r\n"
 
-// inTurn plays first to the request that comes first, whichever endpoint it reaches, and then
+// firstThen plays first to the request that comes first, whichever endpoint it reaches, and then
 // second to all others.
-func inTurn(first, second answerer) answerer {
+func firstThen(first, second responder) responder {
 	var begun atomic.Bool
 	return func(c net.Conn, r *http.Request) {
 		if begun.Swap(true) {
@@ -212,21 +212,21 @@
 	}
 }
 
-func route(kind routes.Kind, attempts int) []routes.Route {
+func singleRoute(kind routes.Kind, attempts int) []routes.Route {
 	return []routes.Route{{
 		Name: "r", Host: "h", Prefix: "/r/", Kind: kind, Targets: []routes.Target{{Service: "s", Weight: 1}},
 		Timeout: 30 * time.Second, MaxAttempts: attempts,
 	}}
 }
 
-func (s *site) request(method, path, body string, lines ...string) *http.Request {
+func (s *testServer) newRequest(method, path, body string, lines ...string) *http.Request {
 	req, err := http.NewRequestWithContext(s.t.Context(), method, s.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	req.Host = "h"
-	req.Header.Set(testID, "id-1")
-	req.Header.Set(testKey, "key")
+	req.Header.Set(headerID, "id-1")
+	req.Header.Set(headerKey, "key")
 	for _, line := range lines {
 		name, value, _ := strings.Cut(line, ": ")
 		req.Header.Set(name, value)
@@ -234,8 +234,8 @@
 	return req
 }
 
-// ask sends a request and reads the whole answer.
-func (s *site) ask(req *http.Request) (*http.Response, string, error) {
+// do sends a request and reads the whole answer.
+func (s *testServer) do(req *http.Request) (*http.Response, string, error) {
 	resp, err := s.server.Client().Do(req)
 	if err != nil {
 		return nil, "", err
@@ -245,19 +245,19 @@
 	return resp, string(body), err
 }
 
-func (s *site) runs() int {
+func (s *testServer) requestCount() int {
 	n := 0
 	for _, e := range s.endpoints {
-		n += e.count()
+		n += e.requestCount()
 	}
 	return n
 }
 
 // TestForwardedUnchanged sends a body through and looks at what arrives.
 func TestForwardedUnchanged(t *testing.T) {
-	s := newSite(t, route(routes.NonIdempotent, 1), say(201, "whole", "X-Own: yes"))
-	req := s.request("PUT", "/r/a%2Fb//c?x=%20&x=2", strings.Repeat("b", 100_000), "X-Mine: kept", "Connection: X-Hop", "X-Hop: gone")
-	resp, body, err := s.ask(req)
+	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), respond(201, "whole", "X-Own: yes"))
+	req := s.newRequest("PUT", "/r/a%2Fb//c?x=%20&x=2", strings.Repeat("b", 100_000), "X-Mine: kept", "Connection: X-Hop", "X-Hop: gone")
+	resp, body, err := s.do(req)
 	if err != nil || resp.StatusCode != 201 || body != "whole" || resp.Header.Get("Stamp") != "201" || resp.Header.Get("X-Own") != "yes" {
 		t.Fatalf("%v %q %v", resp, body, err)
 	}
@@ -269,10 +269,10 @@
 	if got.Method != "PUT" || got.RequestURI != "/r/a%2Fb//c?x=%20&x=2" || got.Host != "h" || len(e.bodies[0]) != 100_000 {
 		t.Errorf("%s %s %s, %d bytes", got.Method, got.RequestURI, got.Host, len(e.bodies[0]))
 	}
-	if got.Header.Get("X-Mine") != "kept" || got.Header.Get("X-Hop") != "" || got.Header.Get(testKey) != "" {
+	if got.Header.Get("X-Mine") != "kept" || got.Header.Get("X-Hop") != "" || got.Header.Get(headerKey) != "" {
 		t.Errorf("%v", got.Header)
 	}
-	if got.Header.Get(testTenant) != "club" || got.Header.Get(testTarget) != "i-0" || got.Header.Get(testID) != "id-1" {
+	if got.Header.Get(headerCustomer) != "club" || got.Header.Get(headerInstance) != "i-0" || got.Header.Get(headerID) != "id-1" {
 		t.Errorf("%v", got.Header)
 	}
 }
@@ -285,44 +285,44 @@
 func TestOutcomes(t *testing.T) {
 	const safe, unsafe = routes.Idempotent, routes.NonIdempotent
 	torn := func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 50\r\n\r\nhalf", testID, r.Header.Get(testID))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 50\r\n\r\nhalf", headerID, r.Header.Get(headerID))
 	}
 	crossed := func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: other\r\nContent-Length: 2\r\n\r\nno", testID)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: other\r\nContent-Length: 2\r\n\r\nno", headerID)
 	}
 	rows := []struct {
 		name     string
 		kind     routes.Kind
 		attempts int
-		first    answerer
-		second   answerer
+		first    responder
+		second   responder
 		status   int
 		body     string
 		runs     int
 	}{
-		{"whole", unsafe, 2, say(200, "a"), say(200, "a"), 200, "a", 1},
-		{"rejected, then run", unsafe, 2, reject, say(200, "a"), 200, "a", 2},
+		{"whole", unsafe, 2, respond(200, "a"), respond(200, "a"), 200, "a", 1},
+		{"rejected, then run", unsafe, 2, reject, respond(200, "a"), 200, "a", 2},
 		{"rejected by all", unsafe, 2, reject, reject, 503, "", 2},
 		{"rejected, one attempt allowed", unsafe, 1, reject, reject, 503, "", 1},
-		{"hung up", unsafe, 2, hangUp, hangUp, 502, "", 1},
-		{"hung up, may be repeated", safe, 2, hangUp, say(200, "a"), 200, "a", 2},
+		{"hung up", unsafe, 2, closeConn, closeConn, 502, "", 1},
+		{"hung up, may be repeated", safe, 2, closeConn, respond(200, "a"), 200, "a", 2},
 		{"torn", unsafe, 2, torn, torn, 502, "", 1},
-		{"torn, may be repeated", safe, 2, torn, say(200, "a"), 200, "a", 2},
+		{"torn, may be repeated", safe, 2, torn, respond(200, "a"), 200, "a", 2},
 		{"another's answer", unsafe, 2, crossed, crossed, 502, "", 1},
-		{"failed", unsafe, 2, say(500, "sorry"), say(500, "sorry"), 500, "sorry", 1},
-		{"failed, may be repeated", safe, 2, say(500, "sorry"), say(200, "a"), 200, "a", 2},
-		{"failed twice", safe, 2, say(500, "sorry"), say(500, "sorry"), 500, "sorry", 2},
-		{"failed, then rejected", safe, 2, say(500, "sorry"), reject, 500, "sorry", 2},
-		{"broken, then rejected", safe, 2, hangUp, reject, 502, "", 2},
-		{"its own 503 after running", unsafe, 2, say(503, "busy"), say(503, "busy"), 502, "", 1},
-		{"its own 429 after running", unsafe, 2, say(429, "slow down"), say(429, "slow down"), 502, "", 1},
-		{"its own 404", unsafe, 2, say(404, "none"), say(404, "none"), 404, "none", 1},
+		{"failed", unsafe, 2, respond(500, "sorry"), respond(500, "sorry"), 500, "sorry", 1},
+		{"failed, may be repeated", safe, 2, respond(500, "sorry"), respond(200, "a"), 200, "a", 2},
+		{"failed twice", safe, 2, respond(500, "sorry"), respond(500, "sorry"), 500, "sorry", 2},
+		{"failed, then rejected", safe, 2, respond(500, "sorry"), reject, 500, "sorry", 2},
+		{"broken, then rejected", safe, 2, closeConn, reject, 502, "", 2},
+		{"its own 503 after running", unsafe, 2, respond(503, "busy"), respond(503, "busy"), 502, "", 1},
+		{"its own 429 after running", unsafe, 2, respond(429, "slow down"), respond(429, "slow down"), 502, "", 1},
+		{"its own 404", unsafe, 2, respond(404, "none"), respond(404, "none"), 404, "none", 1},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			play := inTurn(row.first, row.second)
-			s := newSite(t, route(row.kind, row.attempts), play, play)
-			resp, body, err := s.ask(s.request("POST", "/r/x", "order"))
+			play := firstThen(row.first, row.second)
+			s := newTestServer(t, singleRoute(row.kind, row.attempts), play, play)
+			resp, body, err := s.do(s.newRequest("POST", "/r/x", "order"))
 			if err != nil || resp.StatusCode != row.status {
 				t.Fatalf("%v %v", resp, err)
 			}
@@ -335,8 +335,8 @@
 			if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
 				t.Error("a refusal without a time to come back")
 			}
-			if s.runs() != row.runs {
-				t.Errorf("%d endpoints were sent the request, want %d", s.runs(), row.runs)
+			if s.requestCount() != row.runs {
+				t.Errorf("%d endpoints were sent the request, want %d", s.requestCount(), row.runs)
 			}
 		})
 	}
@@ -350,25 +350,25 @@
 func TestLongAnswerIsTorn(t *testing.T) {
 	long := strings.Repeat("a", 2*maxBuffered)
 	torn := func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", testID, r.Header.Get(testID), len(long)+1, long)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", headerID, r.Header.Get(headerID), len(long)+1, long)
 	}
-	s := newSite(t, route(routes.Idempotent, 2), torn, torn)
-	_, body, err := s.ask(s.request("GET", "/r/x", ""))
-	if err == nil || len(body) > len(long) || s.runs() != 1 {
-		t.Errorf("%d bytes, %v, sent to %d", len(body), err, s.runs())
+	s := newTestServer(t, singleRoute(routes.Idempotent, 2), torn, torn)
+	_, body, err := s.do(s.newRequest("GET", "/r/x", ""))
+	if err == nil || len(body) > len(long) || s.requestCount() != 1 {
+		t.Errorf("%d bytes, %v, sent to %d", len(body), err, s.requestCount())
 	}
 }
 
 // TestNobodyIsReached stops the endpoint's listener before the request comes.
 func TestNobodyIsReached(t *testing.T) {
-	s := newSite(t, route(routes.NonIdempotent, 2))
+	s := newTestServer(t, singleRoute(routes.NonIdempotent, 2))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
 	s.gateway.State.SetInstance(discovery.Instance{ID: "i-9", Revision: 9, Service: "s", Address: l.Addr().String()})
-	resp, _, err := s.ask(s.request("POST", "/r/x", "order"))
+	resp, _, err := s.do(s.newRequest("POST", "/r/x", "order"))
 	if err != nil || resp.StatusCode != 503 || resp.Header.Get("X-Limpetwall-Ran") != "no" {
 		t.Errorf("%v %v", resp, err)
 	}
@@ -378,21 +378,21 @@
 	rows := []struct {
 		name      string
 		resumable bool
-		first     answerer
-		second    answerer
+		first     responder
+		second    responder
 		body      string
 		broken    bool
 		// last is what the second endpoint was told the caller already has.
 		last string
 	}{
-		{"whole", false, stream(endOfStream, "1", "2"), nil, "1 2", false, ""},
-		{"cut between events", true, stream("", "1", "2"), stream(endOfStream, "3"), "1 2 3", false, "2"},
-		{"cut inside an event", true, stream("8\r\nid: 3\nda\r\n", "1", "2"), stream(endOfStream, "3"), "1 2 3", false, "2"},
-		{"the second repeats what is there", true, stream("", "1", "2"), stream(endOfStream, "2", "3"), "1 2 3", false, "2"},
-		{"cut before the first event", true, stream(""), stream(endOfStream, "1"), "1", false, ""},
-		{"cut, may not go on", false, stream("", "1", "2"), stream(endOfStream, "3"), "1 2", true, ""},
-		{"ended inside an event", false, stream("8\r\nid: 3\nda\r\n0\r\n\r\n", "1"), nil, "1", true, ""},
-		{"the second fails", true, stream("", "1"), say(500, "sorry"), "1", true, "1"},
+		{"whole", false, respondStream(lastChunk, "1", "2"), nil, "1 2", false, ""},
+		{"cut between events", true, respondStream("", "1", "2"), respondStream(lastChunk, "3"), "1 2 3", false, "2"},
+		{"cut inside an event", true, respondStream("8\r\nid: 3\nda\r\n", "1", "2"), respondStream(lastChunk, "3"), "1 2 3", false, "2"},
+		{"the second repeats what is there", true, respondStream("", "1", "2"), respondStream(lastChunk, "2", "3"), "1 2 3", false, "2"},
+		{"cut before the first event", true, respondStream(""), respondStream(lastChunk, "1"), "1", false, ""},
+		{"cut, may not go on", false, respondStream("", "1", "2"), respondStream(lastChunk, "3"), "1 2", true, ""},
+		{"ended inside an event", false, respondStream("8\r\nid: 3\nda\r\n0\r\n\r\n", "1"), nil, "1", true, ""},
+		{"the second fails", true, respondStream("", "1"), respond(500, "sorry"), "1", true, "1"},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -404,7 +404,7 @@
 				part := row.first
 				if n > 1 {
 					part = row.second
-					if got := r.Header.Get(testLast); got != row.last {
+					if got := r.Header.Get(headerLastEvent); got != row.last {
 						t.Errorf("the second goes on behind %q, want %q", got, row.last)
 					}
 				}
@@ -413,25 +413,25 @@
 					part(c, r)
 				}
 			}
-			list := route(routes.Streaming, 2)
+			list := singleRoute(routes.Streaming, 2)
 			list[0].Resumable = row.resumable
-			s := newSite(t, list, play, play)
-			resp, body, err := s.ask(s.request("POST", "/r/x", "prompt"))
+			s := newTestServer(t, list, play, play)
+			resp, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 			if resp == nil || resp.StatusCode != 200 || resp.Header.Get("Stamp") != "200" {
 				t.Fatalf("%v %v", resp, err)
 			}
 			if (err != nil) != row.broken {
 				t.Errorf("the stream ended with %v", err)
 			}
-			if got := events(body); got != row.body {
+			if got := eventIDs(body); got != row.body {
 				t.Errorf("events %q, want %q", got, row.body)
 			}
 		})
 	}
 }
 
-// events lists the ids of a stream.
-func events(body string) string {
+// eventIDs lists the ids of a stream.
+func eventIDs(body string) string {
 	var ids []string
 	for line := range strings.Lines(body) {
 		if id, ok := strings.CutPrefix(line, "id: "); ok {
@@ -444,13 +444,13 @@
 // TestEventsArriveAsTheyCome reads the first event while the endpoint still works.
 func TestEventsArriveAsTheyCome(t *testing.T) {
 	more := make(chan struct{})
-	s := newSite(t, route(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
-		stream("", "1")(c, r)
+	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
+		respondStream("", "1")(c, r)
 		<-more
 		text := "id: 2\n\n"
-		fmt.Fprintf(c, "%x\r\n%s\r\n%s", len(text), text, endOfStream)
+		fmt.Fprintf(c, "%x\r\n%s\r\n%s", len(text), text, lastChunk)
 	})
-	resp, err := s.server.Client().Do(s.request("POST", "/r/x", ""))
+	resp, err := s.server.Client().Do(s.newRequest("POST", "/r/x", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -460,7 +460,7 @@
 		t.Fatalf("%q %v", line, err)
 	}
 	close(more)
-	if rest, err := io.ReadAll(reader); err != nil || events(string(rest)) != "2" {
+	if rest, err := io.ReadAll(reader); err != nil || eventIDs(string(rest)) != "2" {
 		t.Errorf("%q %v", rest, err)
 	}
 }
@@ -470,20 +470,20 @@
 // The endpoint's connection closes, which tells it to stop; nothing else is asked.
 func TestCallerLeaves(t *testing.T) {
 	working, stopped := make(chan struct{}), make(chan struct{})
-	s := newSite(t, route(routes.Idempotent, 2), func(c net.Conn, _ *http.Request) {
+	s := newTestServer(t, singleRoute(routes.Idempotent, 2), func(c net.Conn, _ *http.Request) {
 		close(working)
 		io.Copy(io.Discard, c)
 		close(stopped)
 	})
 	ctx, leave := context.WithCancel(t.Context())
-	go s.server.Client().Do(s.request("GET", "/r/x", "").WithContext(ctx))
+	go s.server.Client().Do(s.newRequest("GET", "/r/x", "").WithContext(ctx))
 	<-working
 	leave()
 	<-stopped
 }
 
 func TestWhoMayCallWhat(t *testing.T) {
-	list := append(route(routes.Idempotent, 1), routes.Route{
+	list := append(singleRoute(routes.Idempotent, 1), routes.Route{
 		Name: "open", Host: "h", Prefix: "/open/", Kind: routes.Idempotent, Targets: []routes.Target{{Service: "s", Weight: 1}}, Public: true, MaxAttempts: 1,
 	})
 	rows := []struct {
@@ -495,9 +495,9 @@
 		sent   int
 	}{
 		{"known key", "/r/x", nil, "", 200, 1},
-		{"unknown key", "/r/x", []string{testKey + ": stolen"}, "", 401, 0},
-		{"no key", "/r/x", []string{testKey + ": "}, "", 401, 0},
-		{"public", "/open/x", []string{testKey + ": "}, "", 200, 1},
+		{"unknown key", "/r/x", []string{headerKey + ": stolen"}, "", 401, 0},
+		{"no key", "/r/x", []string{headerKey + ": "}, "", 401, 0},
+		{"public", "/open/x", []string{headerKey + ": "}, "", 200, 1},
 		{"no route", "/s/x", nil, "", 404, 0},
 		{"bad header", "/r/x", []string{"T-Bad: 1"}, "", 400, 0},
 		{"header too large", "/r/x", []string{"X-Large: " + strings.Repeat("x", 5000)}, "", 431, 0},
@@ -505,12 +505,12 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			s := newSite(t, list, say(200, "a"))
+			s := newTestServer(t, list, respond(200, "a"))
 			now := time.Now()
 			s.gateway.Watcher.Heard(now)
-			resp, _, err := s.ask(s.request("POST", row.path, row.body, row.lines...))
-			if err != nil || resp.StatusCode != row.status || s.runs() != row.sent {
-				t.Errorf("%v %v, sent to %d", resp, err, s.runs())
+			resp, _, err := s.do(s.newRequest("POST", row.path, row.body, row.lines...))
+			if err != nil || resp.StatusCode != row.status || s.requestCount() != row.sent {
+				t.Errorf("%v %v, sent to %d", resp, err, s.requestCount())
 			}
 		})
 	}
@@ -521,23 +521,23 @@
 // The caller is told at that moment, and nothing is promised; the endpoint gets no
 // more time than the caller has.
 func TestRouteTimeout(t *testing.T) {
-	list := route(routes.NonIdempotent, 2)
+	list := singleRoute(routes.NonIdempotent, 2)
 	list[0].Timeout = 50 * time.Millisecond
-	s := newSite(t, list, func(c net.Conn, _ *http.Request) { io.Copy(io.Discard, c) })
-	resp, _, err := s.ask(s.request("POST", "/r/x", "", testLeft+": 4000"))
-	if err != nil || resp.StatusCode != 504 || s.runs() != 1 {
+	s := newTestServer(t, list, func(c net.Conn, _ *http.Request) { io.Copy(io.Discard, c) })
+	resp, _, err := s.do(s.newRequest("POST", "/r/x", "", headerTimeLeft+": 4000"))
+	if err != nil || resp.StatusCode != 504 || s.requestCount() != 1 {
 		t.Fatalf("%v %v", resp, err)
 	}
-	if left, err := strconv.Atoi(s.endpoints[0].requests[0].Header.Get(testLeft)); err != nil || left > 50 {
+	if left, err := strconv.Atoi(s.endpoints[0].requests[0].Header.Get(headerTimeLeft)); err != nil || left > 50 {
 		t.Errorf("the endpoint was given %d ms: %v", left, err)
 	}
 }
 
 // TestRetryBudget lets every endpoint fail with the budget used up.
 func TestRetryBudget(t *testing.T) {
-	s := newSite(t, route(routes.Idempotent, 2), say(500, "sorry"), say(500, "sorry"))
+	s := newTestServer(t, singleRoute(routes.Idempotent, 2), respond(500, "sorry"), respond(500, "sorry"))
 	s.gateway.RetryBudget = runs.NewRetryBudget(0, 0)
-	if resp, _, err := s.ask(s.request("GET", "/r/x", "")); err != nil || resp.StatusCode != 500 || s.runs() != 1 {
-		t.Errorf("%v %v, sent to %d", resp, err, s.runs())
+	if resp, _, err := s.do(s.newRequest("GET", "/r/x", "")); err != nil || resp.StatusCode != 500 || s.requestCount() != 1 {
+		t.Errorf("%v %v, sent to %d", resp, err, s.requestCount())
 	}
 }
--- a/internal/coordination/gateway/callers_test.go
+++ b/internal/coordination/gateway/ingress_test.go
@@ -17,8 +17,8 @@
 	"limpetwall/internal/transport/ingress"
 )
 
-// callers serves a site's gateway as its process does and returns a connection to it.
-func (s *site) callers() (*ingress.Server, net.Conn, *bufio.Reader) {
+// serveIngress serves a site's gateway as its process does and returns a connection to it.
+func (s *testServer) serveIngress() (*ingress.Server, net.Conn, *bufio.Reader) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
@@ -37,13 +37,13 @@
 }
 
 // reconfigure puts the next configuration in force.
-func (s *site) reconfigure(list []routes.Route, services []routes.Service, customers []routes.Customer, limits routes.Limits) {
+func (s *testServer) reconfigure(list []routes.Route, services []routes.Service, customers []routes.Customer, limits routes.Limits) {
 	revision := s.gateway.State.Routes().Revision + 100
 	s.gateway.State.SetRoutes(routes.New(revision, revision, list, services, customers, limits))
 }
 
-// want reads an answer that must be whole.
-func (s *site) want(r *bufio.Reader, status int) {
+// expectStatus reads an answer that must be whole.
+func (s *testServer) expectStatus(r *bufio.Reader, status int) {
 	s.t.Helper()
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -61,7 +61,7 @@
 // TestLimitsLoweredWhileARequestIsRead guards against a configuration that closes connections under
 // requests which its limits don't allow any more.
 func TestLimitsLoweredWhileARequestIsRead(t *testing.T) {
-	const head = "POST /r/x HTTP/1.1\r\nHost: h\r\n" + testID + ": id-1\r\n" + testKey + ": key\r\n"
+	const head = "POST /r/x HTTP/1.1\r\nHost: h\r\n" + headerID + ": id-1\r\n" + headerKey + ": key\r\n"
 	long := strings.Repeat("x", 300<<10)
 	rows := []struct {
 		name, before, after string
@@ -77,27 +77,27 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			s := newSite(t, route(routes.NonIdempotent, 1), say(200, "a"))
-			server, c, r := s.callers()
+			s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), respond(200, "a"))
+			server, c, r := s.serveIngress()
 			io.WriteString(c, row.before)
 			if strings.Contains(row.before, "Content-Length") {
 				s.untilInflight()
 			}
-			s.reconfigure(route(routes.NonIdempotent, 1), []routes.Service{{Name: "s"}}, []routes.Customer{{Name: "club", Keys: []string{"key"}}}, row.limits)
+			s.reconfigure(singleRoute(routes.NonIdempotent, 1), []routes.Service{{Name: "s"}}, []routes.Customer{{Name: "club", Keys: []string{"key"}}}, row.limits)
 			server.SetLimits(row.limits)
 			io.WriteString(c, row.after)
-			s.want(r, row.status)
+			s.expectStatus(r, row.status)
 		})
 	}
 }
 
 // TestLengthBeyondMemory guards against a panic on a length that no limit in force forbids.
 func TestLengthBeyondMemory(t *testing.T) {
-	s := newSite(t, route(routes.NonIdempotent, 1), say(200, "a"))
-	s.reconfigure(route(routes.NonIdempotent, 1), []routes.Service{{Name: "s"}}, []routes.Customer{{Name: "club", Keys: []string{"key"}}}, routes.Limits{})
-	_, c, r := s.callers()
-	fmt.Fprintf(c, "POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n%s: 100\r\nContent-Length: %d\r\n\r\nor", testID, testKey, testLeft, int64(1)<<62)
-	s.want(r, http.StatusServiceUnavailable)
+	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), respond(200, "a"))
+	s.reconfigure(singleRoute(routes.NonIdempotent, 1), []routes.Service{{Name: "s"}}, []routes.Customer{{Name: "club", Keys: []string{"key"}}}, routes.Limits{})
+	_, c, r := s.serveIngress()
+	fmt.Fprintf(c, "POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n%s: 100\r\nContent-Length: %d\r\n\r\nor", headerID, headerKey, headerTimeLeft, int64(1)<<62)
+	s.expectStatus(r, http.StatusServiceUnavailable)
 }
 
 // TestConfigurationTakenAwayInFlight guards against a panic on a route, service or customer that is
@@ -106,33 +106,33 @@
 	rows := []struct {
 		name   string
 		kind   routes.Kind
-		last   answerer
+		last   responder
 		status int
 	}{
-		{"answered", routes.NonIdempotent, say(200, "a"), 200},
-		{"failed, may be repeated", routes.Idempotent, say(500, "sorry"), 500},
-		{"broken, may be repeated", routes.Idempotent, hangUp, 502},
-		{"broken", routes.NonIdempotent, hangUp, 502},
+		{"answered", routes.NonIdempotent, respond(200, "a"), 200},
+		{"failed, may be repeated", routes.Idempotent, respond(500, "sorry"), 500},
+		{"broken, may be repeated", routes.Idempotent, closeConn, 502},
+		{"broken", routes.NonIdempotent, closeConn, 502},
 		{"rejected", routes.NonIdempotent, reject, 503},
-		{"a stream", routes.Streaming, stream(endOfStream, "1"), 200},
-		{"a stream, broken", routes.Streaming, hangUp, 502},
+		{"a stream", routes.Streaming, respondStream(lastChunk, "1"), 200},
+		{"a stream, broken", routes.Streaming, closeConn, 502},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			reached, goOn := make(chan struct{}), make(chan struct{})
-			s := newSite(t, route(row.kind, 2), func(c net.Conn, r *http.Request) {
+			s := newTestServer(t, singleRoute(row.kind, 2), func(c net.Conn, r *http.Request) {
 				close(reached)
 				<-goOn
 				row.last(c, r)
 			})
-			server, c, r := s.callers()
-			fmt.Fprintf(c, "POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\nContent-Length: 5\r\n\r\norder", testID, testKey)
+			server, c, r := s.serveIngress()
+			fmt.Fprintf(c, "POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\nContent-Length: 5\r\n\r\norder", headerID, headerKey)
 			<-reached
 			s.reconfigure(nil, nil, nil, routes.Limits{HeaderTimeout: time.Nanosecond, IdleTimeout: time.Nanosecond, BodyBytes: 1, HeaderBytes: 1})
 			server.SetLimits(s.gateway.State.Routes().Limits)
 			s.gateway.State.ReplaceInstances(nil, false, time.Now())
 			close(goOn)
-			s.want(r, row.status)
+			s.expectStatus(r, row.status)
 		})
 	}
 }
@@ -140,7 +140,7 @@
 // TestWaitingCallerIsNotTakenForGone guards against read errors that are none of the caller's, such
 // as a deadline left over from its body or header: its request's time ends, and it must be told.
 func TestWaitingCallerIsNotTakenForGone(t *testing.T) {
-	head := fmt.Sprintf("POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n%s: 150\r\n", testID, testKey, testLeft)
+	head := fmt.Sprintf("POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n%s: 150\r\n", headerID, headerKey, headerTimeLeft)
 	const length, chunked = "Content-Length: 5\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n"
 	rows := []struct {
 		name string
@@ -162,15 +162,15 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			silent := func(c net.Conn, _ *http.Request) { io.Copy(io.Discard, c) }
-			s := newSite(t, route(routes.NonIdempotent, 1), silent)
-			server, c, r := s.callers()
+			s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), silent)
+			server, c, r := s.serveIngress()
 			io.WriteString(c, row.sent)
 			s.untilInflight()
 			// Waits that are over at once would end a read that still stands under a limit.
 			server.SetLimits(routes.Limits{HeaderTimeout: time.Nanosecond, IdleTimeout: time.Minute})
 			io.WriteString(c, row.later)
 			for range row.answers {
-				s.want(r, http.StatusGatewayTimeout)
+				s.expectStatus(r, http.StatusGatewayTimeout)
 			}
 		})
 	}
@@ -192,17 +192,17 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			s := newSite(t, route(routes.Idempotent, 1), say(200, "a"))
+			s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
 			now := time.Now()
 			// The route gives 30 s.
 			s.gateway.SetDrainWindow(now.Add(row.from), now.Add(20*time.Second))
-			req := s.request("GET", "/r/x", "")
+			req := s.newRequest("GET", "/r/x", "")
 			if row.left > 0 {
-				req.Header.Set(testLeft, fmt.Sprint(row.left.Milliseconds()))
+				req.Header.Set(headerTimeLeft, fmt.Sprint(row.left.Milliseconds()))
 			}
-			resp, body, err := s.ask(req)
-			if err != nil || resp.StatusCode != row.status || s.runs() != row.runs {
-				t.Fatalf("%v %q %v, %d runs", resp, body, err, s.runs())
+			resp, body, err := s.do(req)
+			if err != nil || resp.StatusCode != row.status || s.requestCount() != row.runs {
+				t.Fatalf("%v %q %v, %d runs", resp, body, err, s.requestCount())
 			}
 			if row.status == 503 && (resp.Header.Get("Retry-After") == "" || resp.Header.Get("X-Limpetwall-Ran") != "no") {
 				t.Errorf("%v", resp.Header)
--- a/internal/coordination/gateway/reconfigure_test.go
+++ b/internal/coordination/gateway/reconfigure_test.go
@@ -16,7 +16,7 @@
 
 // swapper changes what a gateway believes, again and again, until it is ended.
 type swapper struct {
-	site     *site
+	site     *testServer
 	kind     routes.Kind
 	revision uint64
 }
@@ -24,7 +24,7 @@
 // routes puts in force a configuration in which the route leads to the service, without it, without the customer, or
 // with the service as one of engines.
 func (w *swapper) routes(n int) {
-	list := route(w.kind, 3)
+	list := singleRoute(w.kind, 3)
 	list[0].Resumable = true
 	services := []routes.Service{{Name: "s"}, {Name: "other"}}
 	customers := []routes.Customer{{Name: "club", Keys: []string{"key"}}}
@@ -110,18 +110,18 @@
 func TestSwappedTablesAnswerEveryCaller(t *testing.T) {
 	rows := []struct {
 		kind  routes.Kind
-		plays []answerer
+		plays []responder
 		whole string
 		// mayBreak allows answers to break off once they have begun.
 		mayBreak bool
 	}{
-		{routes.Idempotent, []answerer{say(200, "whole"), say(500, "sorry"), keepAlive(hangUp), hangUp, reject, raw("200 OK", "", "whole")}, "whole", false},
-		{routes.Streaming, []answerer{stream(endOfStream, "1", "2"), stream("", "1"), say(500, "sorry"), hangUp, reject, stream(endOfStream, "1", "2")},
+		{routes.Idempotent, []responder{respond(200, "whole"), respond(500, "sorry"), keepAlive(closeConn), closeConn, reject, respondRaw("200 OK", "", "whole")}, "whole", false},
+		{routes.Streaming, []responder{respondStream(lastChunk, "1", "2"), respondStream("", "1"), respond(500, "sorry"), closeConn, reject, respondStream(lastChunk, "1", "2")},
 			"id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n", true},
 	}
 	for _, row := range rows {
 		t.Run(row.kind.String(), func(t *testing.T) {
-			s := newSite(t, route(row.kind, 3), row.plays...)
+			s := newTestServer(t, singleRoute(row.kind, 3), row.plays...)
 			s.gateway.Keeper, s.gateway.Copier = newKeeper(), &turnCopier{}
 			guard := s.guarded()
 			done := make(chan struct{})
@@ -133,9 +133,9 @@
 					defer client.CloseIdleConnections()
 					for n := range 150 {
 						id := fmt.Sprint("id-", caller, "-", n)
-						req := s.request("PUT", "/r/x", "order", testID+": "+id, testLeft+": 20000")
+						req := s.newRequest("PUT", "/r/x", "order", headerID+": "+id, headerTimeLeft+": 20000")
 						if n%3 == 0 {
-							req.Header.Set(testPart, "part")
+							req.Header.Set(headerSegment, "part")
 						}
 						resp, err := client.Do(req)
 						if err != nil {
@@ -144,7 +144,7 @@
 						}
 						body, err := io.ReadAll(resp.Body)
 						resp.Body.Close()
-						if got := resp.Header.Get(testID); got != id || len(body) == 0 || (err != nil && !row.mayBreak) {
+						if got := resp.Header.Get(headerID); got != id || len(body) == 0 || (err != nil && !row.mayBreak) {
 							t.Errorf("%s: status %d to %q, %q, %v", id, resp.StatusCode, got, body, err)
 						}
 						if resp.StatusCode == 200 && err == nil && string(body) != row.whole && string(body) != keptBody {
--- a/internal/coordination/gateway/relocate.go
+++ b/internal/coordination/gateway/relocate.go
@@ -198,10 +198,10 @@
 	if !r.mayBeStopped {
 		return out
 	}
-	if out.verdict == delivered && resp.EndsWithConnection {
-		out = outcome{verdict: broken, err: errStopped}
+	if out.kind == delivered && resp.EndsWithConnection {
+		out = outcome{kind: broken, err: errStopped}
 	}
-	out.stopOrdered = out.verdict == broken
+	out.stopOrdered = out.kind == broken
 	return out
 }
 
--- a/internal/coordination/gateway/relocate_test.go
+++ b/internal/coordination/gateway/relocate_test.go
@@ -58,33 +58,33 @@
 // stopped and rejected at the other engine is cut, and never run from its beginning.
 func TestRunsGoOnElsewhere(t *testing.T) {
 	const whole = "123"
-	var s *site
+	var s *testServer
 	rows := []struct {
 		name        string
 		first, last error
 		empty       func(*discovery.State)
-		second      answerer
+		second      responder
 		events      string
 		complete    bool
 		sent        int
 		// crashed: the second engine did, under the run.
 		crashed bool
 	}{
-		{"to load", nil, nil, func(s *discovery.State) { s.SetLoading("i-0", true) }, stream(endOfStream, "2", "3"), whole, true, 1, false},
-		{"to leave", nil, nil, leave, stream(endOfStream, "3"), whole, true, 1, false},
-		{"no room", ErrNoCapacity, nil, leave, stream(endOfStream), whole, true, 0, false},
-		{"ended meanwhile", nil, ErrRunNotFound, leave, stream(endOfStream), whole, true, 0, false},
+		{"to load", nil, nil, func(s *discovery.State) { s.SetLoading("i-0", true) }, respondStream(lastChunk, "2", "3"), whole, true, 1, false},
+		{"to leave", nil, nil, leave, respondStream(lastChunk, "3"), whole, true, 1, false},
+		{"no room", ErrNoCapacity, nil, leave, respondStream(lastChunk), whole, true, 0, false},
+		{"ended meanwhile", nil, ErrRunNotFound, leave, respondStream(lastChunk), whole, true, 0, false},
 		{"rejected where it should go on", nil, nil, leave, reject, "12", false, 1, false},
-		{"torn where it goes on", nil, nil, leave, stream("", "3"), whole, false, 1, false},
-		{"crashed where it goes on", nil, nil, leave, func(c net.Conn, r *http.Request) { s.crash(1)(c, r); stream("", "3")(c, r) }, whole, false, 1, true},
+		{"torn where it goes on", nil, nil, leave, respondStream("", "3"), whole, false, 1, false},
+		{"crashed where it goes on", nil, nil, leave, func(c net.Conn, r *http.Request) { s.crash(1)(c, r); respondStream("", "3")(c, r) }, whole, false, 1, true},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			copier := &fakeCopier{first: row.first, last: row.last, asked: make(chan struct{}), stopped: make(chan struct{})}
 			begun := make(chan struct{})
 			moves := row.first == nil && row.last == nil
-			s = newSite(t, route(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
-				stream("", "1", "2")(c, r)
+			s = newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
+				respondStream("", "1", "2")(c, r)
 				close(begun)
 				<-copier.asked
 				if row.first == nil {
@@ -92,7 +92,7 @@
 				}
 				if !moves {
 					text := "id: 3\ndata: 3\n\n"
-					fmt.Fprintf(c, "%x\r\n%s\r\n%s", len(text), text, endOfStream)
+					fmt.Fprintf(c, "%x\r\n%s\r\n%s", len(text), text, lastChunk)
 				}
 			}, row.second)
 			s.engines(copier)
@@ -104,7 +104,7 @@
 			go func() {
 				defer close(done)
 				var resp *http.Response
-				if resp, err = s.server.Client().Do(s.request("POST", "/r/x", "prompt", testPart+": part")); err != nil {
+				if resp, err = s.server.Client().Do(s.newRequest("POST", "/r/x", "prompt", headerSegment+": part")); err != nil {
 					return
 				}
 				defer resp.Body.Close()
@@ -128,14 +128,14 @@
 			if s.gateway.crashProbes.settled(t); guard.IsIdle() == row.crashed {
 				t.Errorf("blamed for a crash: %v", !guard.IsIdle())
 			}
-			if got := s.endpoints[1].count(); got != row.sent {
+			if got := s.endpoints[1].requestCount(); got != row.sent {
 				t.Errorf("the second engine was sent %d requests", got)
 			}
-			if row.sent == 1 && s.endpoints[1].requests[0].Header.Get(testContinue) != s.endpoints[0].address+"/h1" {
+			if row.sent == 1 && s.endpoints[1].requests[0].Header.Get(headerContinueFrom) != s.endpoints[0].address+"/h1" {
 				t.Errorf("%v", s.endpoints[1].requests[0].Header)
 			}
-			if s.endpoints[0].count() != 1 {
-				t.Errorf("the first engine was sent %d requests", s.endpoints[0].count())
+			if s.endpoints[0].requestCount() != 1 {
+				t.Errorf("the first engine was sent %d requests", s.endpoints[0].requestCount())
 			}
 			copier.mu.Lock()
 			defer copier.mu.Unlock()
@@ -162,8 +162,8 @@
 		t.Run(row.name, func(t *testing.T) {
 			copier := &fakeCopier{last: row.last, asked: make(chan struct{}), stopped: make(chan struct{})}
 			begun := make(chan struct{})
-			s := newSite(t, route(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
-				raw("200 OK", "", "id: 1\ndata: 1\n\n")(c, r)
+			s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
+				respondRaw("200 OK", "", "id: 1\ndata: 1\n\n")(c, r)
 				close(begun)
 				<-copier.stopped
 			}, reject)
@@ -173,7 +173,7 @@
 				s.gateway.State.SetLoading("i-1", false)
 				leave(s.gateway.State)
 			}()
-			_, body, err := s.ask(s.request("POST", "/r/x", "prompt", testPart+": part"))
+			_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt", headerSegment+": part"))
 			if !strings.Contains(body, "id: 1") || (err == nil) != row.complete {
 				t.Errorf("%q %v", body, err)
 			}
@@ -182,9 +182,9 @@
 }
 
 // engines makes a site's endpoints engines of one model, and has runs copied by copier.
-func (s *site) engines(copier RunCopier) {
+func (s *testServer) engines(copier RunCopier) {
 	state := s.gateway.State
-	state.SetRoutes(routes.New(2, 9, route(routes.Streaming, 1), []routes.Service{{Name: "s", Engine: &routes.Engine{Slots: 4}}},
+	state.SetRoutes(routes.New(2, 9, singleRoute(routes.Streaming, 1), []routes.Service{{Name: "s", Engine: &routes.Engine{Slots: 4}}},
 		[]routes.Customer{{Name: "club", Keys: []string{"key"}}}, routes.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20}))
 	for i, e := range s.endpoints {
 		state.SetInstance(discovery.Instance{ID: e.id, Revision: uint64(20 + i), Service: "s", Address: e.address, Domain: "a", Slots: 4, Model: "m", Weights: 1})
@@ -202,18 +202,18 @@
 func TestStreamThatDoesNotCloseAfterItsStop(t *testing.T) {
 	copier := &fakeCopier{asked: make(chan struct{}), stopped: make(chan struct{})}
 	begun := make(chan struct{})
-	s := newSite(t, route(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
-		stream("", "1")(c, r)
+	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
+		respondStream("", "1")(c, r)
 		close(begun)
 		io.Copy(io.Discard, c)
-	}, stream(endOfStream, "2"))
+	}, respondStream(lastChunk, "2"))
 	s.engines(copier)
 	go func() {
 		<-begun
 		s.gateway.State.SetLoading("i-1", false)
 		leave(s.gateway.State)
 	}()
-	_, body, err := s.ask(s.request("POST", "/r/x", "prompt", testPart+": part"))
+	_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt", headerSegment+": part"))
 	if err != nil || !strings.Contains(body, "id: 2") {
 		t.Errorf("%q %v", body, err)
 	}
@@ -237,11 +237,11 @@
 	copier := &hangingCopier{fakeCopier: fakeCopier{asked: make(chan struct{})}, released: make(chan struct{})}
 	defer close(copier.released)
 	begun := make(chan struct{})
-	s := newSite(t, route(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
-		stream("", "1")(c, r)
+	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
+		respondStream("", "1")(c, r)
 		close(begun)
 		<-copier.asked
-		io.WriteString(c, endOfStream)
+		io.WriteString(c, lastChunk)
 	}, reject)
 	s.engines(copier)
 	go func() {
@@ -249,7 +249,7 @@
 		s.gateway.State.SetLoading("i-1", false)
 		leave(s.gateway.State)
 	}()
-	if _, body, err := s.ask(s.request("POST", "/r/x", "prompt", testPart+": part")); err != nil || !strings.Contains(body, "id: 1") {
+	if _, body, err := s.do(s.newRequest("POST", "/r/x", "prompt", headerSegment+": part")); err != nil || !strings.Contains(body, "id: 1") {
 		t.Errorf("%q %v", body, err)
 	}
 }
@@ -265,10 +265,10 @@
 // copy must not keep an engine's memory for nobody.
 func TestCallerLeavesWhileItsRunIsMoved(t *testing.T) {
 	copier := &fakeCopier{stopped: make(chan struct{})}
-	s := newSite(t, route(routes.Streaming, 1))
+	s := newTestServer(t, singleRoute(routes.Streaming, 1))
 	s.gateway.Copier = copier
 	ctx, cancel := context.WithCancel(t.Context())
-	x := &exchange{g: s.gateway, r: s.request("POST", "/r/x", "").WithContext(ctx)}
+	x := &exchange{g: s.gateway, r: s.newRequest("POST", "/r/x", "").WithContext(ctx)}
 	cancel()
 	x.abandon(&continuation{source: discovery.Instance{ID: "i-0", Address: "10.0.0.1:1"}, handle: "h1"})
 	if len(copier.dropped) != 1 || copier.dropped[0] != "h1" {
@@ -277,7 +277,7 @@
 }
 
 func TestEnginesNextToLoad(t *testing.T) {
-	s := newSite(t, route(routes.Streaming, 1)).gateway.State
+	s := newTestServer(t, singleRoute(routes.Streaming, 1)).gateway.State
 	for n := range 6 {
 		s.SetInstance(discovery.Instance{ID: fmt.Sprint("e", n), Revision: 30, Service: "s", Address: fmt.Sprint("10.0.0.1:", n+1), Model: "m", Weights: 1})
 	}
@@ -294,7 +294,7 @@
 
 // TestEmptyingIsToldEachTime has an endpoint carry out two orders.
 func TestEmptyingIsToldEachTime(t *testing.T) {
-	s := newSite(t, route(routes.Streaming, 1)).gateway.State
+	s := newTestServer(t, singleRoute(routes.Streaming, 1)).gateway.State
 	s.SetInstance(discovery.Instance{ID: "e", Revision: 30, Service: "s", Address: "10.0.0.1:1", Model: "m", Weights: 1})
 	told := func() bool {
 		select {
@@ -338,8 +338,8 @@
 func TestTimeEndsWhileARunIsMoved(t *testing.T) {
 	copier := &lateCopier{fakeCopier{asked: make(chan struct{}), stopped: make(chan struct{})}, make(chan struct{})}
 	begun := make(chan struct{})
-	s := newSite(t, route(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
-		stream("", "1")(c, r)
+	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
+		respondStream("", "1")(c, r)
 		close(begun)
 		io.Copy(io.Discard, c)
 		close(copier.ended)
@@ -350,7 +350,7 @@
 		s.gateway.State.SetLoading("i-1", false)
 		leave(s.gateway.State)
 	}()
-	_, body, err := s.ask(s.request("POST", "/r/x", "prompt", testPart+": part", testLeft+": 600"))
+	_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt", headerSegment+": part", headerTimeLeft+": 600"))
 	if err == nil || !strings.Contains(body, "id: 1") {
 		t.Errorf("%q %v", body, err)
 	}
--- a/internal/coordination/gateway/requestlog_test.go
+++ b/internal/coordination/gateway/requestlog_test.go
@@ -25,24 +25,24 @@
 	rows := []struct {
 		name     string
 		kind     routes.Kind
-		endpoint answerer
+		endpoint responder
 		got      receipt.Receipt
 		status   int64
 		cuts     int64
 	}{
-		{"an endpoint's answer", routes.NonIdempotent, say(201, "a"), receipt.Answer, 201, 0},
-		{"an endpoint's failure", routes.NonIdempotent, say(500, "sorry"), receipt.Answer, 500, 0},
+		{"an endpoint's answer", routes.NonIdempotent, respond(201, "a"), receipt.Answer, 201, 0},
+		{"an endpoint's failure", routes.NonIdempotent, respond(500, "sorry"), receipt.Answer, 500, 0},
 		{"a refusal", routes.NonIdempotent, reject, receipt.Refusal, 503, 0},
-		{"an unknown outcome", routes.NonIdempotent, hangUp, receipt.Refusal, 502, 0},
-		{"a stream", routes.Streaming, stream(endOfStream, "1"), receipt.Answer, 200, 0},
-		{"a stream that breaks", routes.Streaming, stream("", "1"), receipt.Part, 200, 1},
+		{"an unknown outcome", routes.NonIdempotent, closeConn, receipt.Refusal, 502, 0},
+		{"a stream", routes.Streaming, respondStream(lastChunk, "1"), receipt.Answer, 200, 0},
+		{"a stream that breaks", routes.Streaming, respondStream("", "1"), receipt.Part, 200, 1},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			core, lines := observer.New(zap.InfoLevel)
-			s := newSite(t, route(row.kind, 1), row.endpoint)
+			s := newTestServer(t, singleRoute(row.kind, 1), row.endpoint)
 			s.gateway.Log = zap.New(core)
-			resp, _, err := s.ask(s.request("POST", "/r/x", "b"))
+			resp, _, err := s.do(s.newRequest("POST", "/r/x", "b"))
 			if cut := err != nil; cut != (row.got == receipt.Part) || (resp != nil && int64(resp.StatusCode) != row.status) {
 				t.Errorf("the caller saw %v, %v", resp, err)
 			}
@@ -67,14 +67,14 @@
 		io.Copy(io.Discard, c)
 	}
 	core, lines := observer.New(zap.InfoLevel)
-	s := newSite(t, route(routes.NonIdempotent, 1), atWork)
+	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), atWork)
 	s.gateway.Log = zap.New(core)
 	ctx, leave := context.WithCancel(t.Context())
 	go func() {
 		<-arrived
 		leave()
 	}()
-	if _, _, err := s.ask(s.request("POST", "/r/x", "b").WithContext(ctx)); err == nil {
+	if _, _, err := s.do(s.newRequest("POST", "/r/x", "b").WithContext(ctx)); err == nil {
 		t.Error("the caller did not leave")
 	}
 	s.server.Close()
@@ -87,9 +87,9 @@
 // TestRequestRefusedBeforeItsDeadlineIsKnown guards against a log that tells of minus 292 years.
 func TestRequestRefusedBeforeItsDeadlineIsKnown(t *testing.T) {
 	core, lines := observer.New(zap.InfoLevel)
-	s := newSite(t, route(routes.Idempotent, 1), say(200, "a"))
+	s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
 	s.gateway.Log = zap.New(core)
-	if resp, _, err := s.ask(s.request("GET", "/nowhere/x", "")); err != nil || resp.StatusCode == http.StatusOK {
+	if resp, _, err := s.do(s.newRequest("GET", "/nowhere/x", "")); err != nil || resp.StatusCode == http.StatusOK {
 		t.Fatal(resp, err)
 	}
 	s.server.Close()
--- a/internal/coordination/gateway/run.go
+++ b/internal/coordination/gateway/run.go
@@ -82,19 +82,19 @@
 		} else {
 			last = x.plainAttempt(ctx, choice, send)
 		}
-		if last.verdict == callerGone && x.stopping() {
+		if last.kind == callerGone && x.stopping() {
 			// A forced stop, too, ends the context and makes writes fail; its caller has not left.
-			last.verdict = stopped
+			last.kind = stopped
 		}
 		x.book(choice, send, last, started)
 		probe := x.probeCrash(choice, last, started)
-		if last.verdict != notReached {
+		if last.kind != notReached {
 			sent++
 		} else {
 			unreached++
 		}
 		x.noteSurvival(last)
-		switch last.verdict {
+		switch last.kind {
 		case delivered:
 			return ending{how: endAnswered}
 		case callerGone:
@@ -159,7 +159,7 @@
 // It is asked when an endpoint has been chosen: a service whose last endpoint fails would
 // otherwise use up the budget of all services without a single retry.
 func (o outcome) costsRetry() bool {
-	switch o.verdict {
+	switch o.kind {
 	case rejected, answeredFailure, broken:
 		return true
 	}
@@ -177,7 +177,7 @@
 		// was moved and is rejected where it should go on has run as well.
 		return false
 	}
-	switch last.verdict {
+	switch last.kind {
 	case notReached:
 		return unreached < maxUnreached
 	case rejected:
@@ -202,7 +202,7 @@
 func (x *exchange) book(c routing.Choice, sent Attempt, o outcome, started time.Time) {
 	now := time.Now()
 	t := try{
-		Endpoint: c.Member.ID, Reason: string(c.Reason), Outcome: o.verdict.String(), TookMS: now.Sub(started).Milliseconds(),
+		Endpoint: c.Member.ID, Reason: string(c.Reason), Outcome: o.kind.String(), TookMS: now.Sub(started).Milliseconds(),
 		Weights: c.Member.Endpoint.WeightVersion, ExpectedMS: c.TTFT.Milliseconds(), CachedTokens: c.CachedTokens,
 		Imported: strings.Join(sent.ImportFrom, ","), Saved: strings.Join(sent.ExportTo, ","),
 		Running: c.LoadSnapshot.Running, Queued: c.LoadSnapshot.Queued, Sent: c.LoadSnapshot.Sent, Own: c.LoadSnapshot.Own,
@@ -222,7 +222,7 @@
 		t.Error = o.err.Error()
 	}
 	x.tries = append(x.tries, t)
-	x.g.count("attempts." + o.verdict.String())
+	x.g.count("attempts." + o.kind.String())
 	if len(x.tries) > 1 {
 		x.g.count("retries")
 	}
@@ -236,7 +236,7 @@
 		g.Directory.Release(c)
 		return
 	}
-	switch o.verdict {
+	switch o.kind {
 	case notReached:
 		g.Directory.DoneUnreachable(c, now)
 	case rejected:
--- a/internal/coordination/gateway/stale_test.go
+++ b/internal/coordination/gateway/stale_test.go
@@ -20,9 +20,9 @@
 const keptBody = "data: first\n\n"
 
 // keepAlive answers a request, and plays next to the second one on the same connection.
-func keepAlive(next answerer) answerer {
+func keepAlive(next responder) responder {
 	return func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 200 X\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", testID, r.Header.Get(testID), len(keptBody), keptBody)
+		fmt.Fprintf(c, "HTTP/1.1 200 X\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", headerID, r.Header.Get(headerID), len(keptBody), keptBody)
 		second, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil {
 			return
@@ -35,7 +35,7 @@
 func TestKeptConnectionEndsUnderARequest(t *testing.T) {
 	reset := func(c net.Conn, r *http.Request) { c.(*net.TCPConn).SetLinger(0) }
 	part := func(c net.Conn, r *http.Request) { fmt.Fprint(c, "HTTP/1.1 2") }
-	events := stream(endOfStream, "1", "2")
+	events := respondStream(lastChunk, "1", "2")
 	const whole = "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n"
 	rows := []struct {
 		name     string
@@ -43,39 +43,39 @@
 		attempts int
 		budget   float64
 		// kept and fresh play the request on the kept connection and on later ones.
-		kept, fresh answerer
+		kept, fresh responder
 		status      int
 		body        string
 		arrivals    int32
 	}{
-		{"closed", routes.Idempotent, 2, 9, hangUp, say(200, "whole"), 200, "whole", 2},
-		{"reset", routes.Idempotent, 2, 9, reset, say(200, "whole"), 200, "whole", 2},
-		{"stream that may be resumed", routes.Streaming, 2, 9, hangUp, events, 200, whole, 2},
-		{"non-idempotent", routes.NonIdempotent, 2, 9, hangUp, say(200, "whole"), 502, "", 1},
-		{"one attempt allowed", routes.Idempotent, 1, 9, hangUp, say(200, "whole"), 502, "", 1},
-		{"retry budget used up", routes.Idempotent, 2, 0, hangUp, say(200, "whole"), 502, "", 1},
-		{"part of an answer came", routes.Idempotent, 2, 9, part, say(200, "whole"), 502, "", 1},
-		{"fresh one closed too", routes.Idempotent, 3, 9, hangUp, hangUp, 502, "", 2},
-		{"fresh one rejects", routes.Idempotent, 3, 9, hangUp, reject, 502, "", 2},
-		{"fresh one fails", routes.Idempotent, 3, 9, hangUp, say(500, "sorry"), 500, "sorry", 2},
+		{"closed", routes.Idempotent, 2, 9, closeConn, respond(200, "whole"), 200, "whole", 2},
+		{"reset", routes.Idempotent, 2, 9, reset, respond(200, "whole"), 200, "whole", 2},
+		{"stream that may be resumed", routes.Streaming, 2, 9, closeConn, events, 200, whole, 2},
+		{"non-idempotent", routes.NonIdempotent, 2, 9, closeConn, respond(200, "whole"), 502, "", 1},
+		{"one attempt allowed", routes.Idempotent, 1, 9, closeConn, respond(200, "whole"), 502, "", 1},
+		{"retry budget used up", routes.Idempotent, 2, 0, closeConn, respond(200, "whole"), 502, "", 1},
+		{"part of an answer came", routes.Idempotent, 2, 9, part, respond(200, "whole"), 502, "", 1},
+		{"fresh one closed too", routes.Idempotent, 3, 9, closeConn, closeConn, 502, "", 2},
+		{"fresh one rejects", routes.Idempotent, 3, 9, closeConn, reject, 502, "", 2},
+		{"fresh one fails", routes.Idempotent, 3, 9, closeConn, respond(500, "sorry"), 500, "sorry", 2},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			var arrivals atomic.Int32
-			counted := func(play answerer) answerer {
+			counted := func(play responder) responder {
 				return func(c net.Conn, r *http.Request) {
 					arrivals.Add(1)
 					play(c, r)
 				}
 			}
-			list := route(row.kind, row.attempts)
+			list := singleRoute(row.kind, row.attempts)
 			list[0].Resumable = true
-			s := newSite(t, list, inTurn(keepAlive(counted(row.kept)), counted(row.fresh)))
+			s := newTestServer(t, list, firstThen(keepAlive(counted(row.kept)), counted(row.fresh)))
 			s.gateway.RetryBudget = runs.NewRetryBudget(0, row.budget)
-			if resp, body, err := s.ask(s.request("POST", "/r/x", "order")); err != nil || resp.StatusCode != 200 {
+			if resp, body, err := s.do(s.newRequest("POST", "/r/x", "order")); err != nil || resp.StatusCode != 200 {
 				t.Fatalf("%v %q %v", resp, body, err)
 			}
-			resp, body, err := s.ask(s.request("POST", "/r/x", "order"))
+			resp, body, err := s.do(s.newRequest("POST", "/r/x", "order"))
 			if err != nil || resp.StatusCode != row.status || (row.body != "" && body != row.body) {
 				t.Errorf("%v %q %v, want %d", resp, body, err, row.status)
 			}
@@ -89,32 +89,32 @@
 // TestOthersAreAskedBeforeAStaleEndpoint guards against a second attempt at an endpoint whose way is broken while another is left.
 func TestOthersAreAskedBeforeAStaleEndpoint(t *testing.T) {
 	var ended atomic.Bool
-	s := newSite(t, route(routes.Idempotent, 2), inTurn(keepAlive(func(c net.Conn, r *http.Request) { ended.Store(true) }), reject))
-	if resp, _, err := s.ask(s.request("GET", "/r/x", "")); err != nil || resp.StatusCode != 200 {
+	s := newTestServer(t, singleRoute(routes.Idempotent, 2), firstThen(keepAlive(func(c net.Conn, r *http.Request) { ended.Store(true) }), reject))
+	if resp, _, err := s.do(s.newRequest("GET", "/r/x", "")); err != nil || resp.StatusCode != 200 {
 		t.Fatalf("%v %v", resp, err)
 	}
-	other := s.endpoint("i-1", say(200, "whole"))
+	other := s.startEndpoint("i-1", respond(200, "whole"))
 	s.gateway.State.SetInstance(discovery.Instance{ID: other.id, Revision: 9, Service: "s", Address: other.address, Domain: "a", Slots: 4})
 	for range 100 {
-		if resp, body, err := s.ask(s.request("GET", "/r/x", "")); err != nil || body != "whole" {
+		if resp, body, err := s.do(s.newRequest("GET", "/r/x", "")); err != nil || body != "whole" {
 			t.Fatalf("%v %q %v", resp, body, err)
 		}
 		if ended.Load() {
 			break
 		}
 	}
-	if !ended.Load() || s.runs() != 1 {
-		t.Errorf("the kept connection was used: %v; %d further connections to its endpoint", ended.Load(), s.runs()-1)
+	if !ended.Load() || s.requestCount() != 1 {
+		t.Errorf("the kept connection was used: %v; %d further connections to its endpoint", ended.Load(), s.requestCount()-1)
 	}
 }
 
 // TestAttemptsTellOfTheirConnection guards against a log that can't tell a stale connection from an endpoint that broke off.
 func TestAttemptsTellOfTheirConnection(t *testing.T) {
-	s := newSite(t, route(routes.Idempotent, 2), inTurn(keepAlive(hangUp), say(200, "whole")))
+	s := newTestServer(t, singleRoute(routes.Idempotent, 2), firstThen(keepAlive(closeConn), respond(200, "whole")))
 	core, logs := observer.New(zap.InfoLevel)
 	s.gateway.Log = zap.New(core)
 	for range 2 {
-		if resp, _, err := s.ask(s.request("POST", "/r/x", "order")); err != nil || resp.StatusCode != 200 {
+		if resp, _, err := s.do(s.newRequest("POST", "/r/x", "order")); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v %v", resp, err)
 		}
 	}
--- a/internal/coordination/gateway/stop_test.go
+++ b/internal/coordination/gateway/stop_test.go
@@ -24,7 +24,7 @@
 )
 
 // stoppable serves a site's gateway such that a test can cut its requests by a forced stop.
-func (s *site) stoppable() (stop func()) {
+func (s *testServer) stoppable() (stop func()) {
 	hard, cut := context.WithCancelCause(context.Background())
 	s.server = httptest.NewUnstartedServer(s.gateway)
 	s.server.Config.BaseContext = func(net.Listener) context.Context { return hard }
@@ -34,7 +34,7 @@
 }
 
 // announce tells, once, that a script is played to its end and that its endpoint waits.
-func announce(waiting chan<- struct{}, before answerer) answerer {
+func announce(waiting chan<- struct{}, before responder) responder {
 	return func(c net.Conn, r *http.Request) {
 		before(c, r)
 		waiting <- struct{}{}
@@ -54,9 +54,9 @@
 		name string
 		kind routes.Kind
 		// before is what the endpoint that is asked first says, then it waits.
-		before answerer
+		before responder
 		// second is what an endpoint says before that one is asked; nil if there is none.
-		second answerer
+		second responder
 		// unreachable endpoints can't be connected to, but for the first connection with second.
 		unreachable bool
 		sent        string
@@ -64,26 +64,26 @@
 		status      int
 		code        string
 	}{
-		{"an order at work", routes.NonIdempotent, hangUp, nil, false, order, receipt.Refusal, 502, "outcome_unknown"},
-		{"what may be repeated", routes.Idempotent, hangUp, nil, false, order, receipt.Refusal, 502, "outcome_unknown"},
-		{"a stream before its first event", routes.Streaming, hangUp, nil, false, order, receipt.Refusal, 502, "outcome_unknown"},
-		{"a stream", routes.Streaming, stream("", "1"), nil, false, order, receipt.Part, 200, "outcome_unknown"},
-		{"a failure kept", routes.Idempotent, hangUp, say(500, "sorry"), false, order, receipt.Answer, 500, "answered"},
-		{"rejected, and at work", routes.NonIdempotent, hangUp, reject, false, order, receipt.Refusal, 502, "outcome_unknown"},
-		{"rejected, and not reached", routes.NonIdempotent, hangUp, reject, true, order, receipt.Refusal, 503, "stopping"},
-		{"not reached", routes.NonIdempotent, hangUp, nil, true, order, receipt.Refusal, 503, "stopping"},
-		{"a body underway", routes.NonIdempotent, hangUp, nil, false, "Content-Length: 5\r\n\r\nor", receipt.Refusal, 503, "stopping"},
-		{"a chunked body underway", routes.NonIdempotent, hangUp, nil, false, "Transfer-Encoding: chunked\r\n\r\n5\r\nor", receipt.Refusal, 503, "stopping"},
+		{"an order at work", routes.NonIdempotent, closeConn, nil, false, order, receipt.Refusal, 502, "outcome_unknown"},
+		{"what may be repeated", routes.Idempotent, closeConn, nil, false, order, receipt.Refusal, 502, "outcome_unknown"},
+		{"a stream before its first event", routes.Streaming, closeConn, nil, false, order, receipt.Refusal, 502, "outcome_unknown"},
+		{"a stream", routes.Streaming, respondStream("", "1"), nil, false, order, receipt.Part, 200, "outcome_unknown"},
+		{"a failure kept", routes.Idempotent, closeConn, respond(500, "sorry"), false, order, receipt.Answer, 500, "answered"},
+		{"rejected, and at work", routes.NonIdempotent, closeConn, reject, false, order, receipt.Refusal, 502, "outcome_unknown"},
+		{"rejected, and not reached", routes.NonIdempotent, closeConn, reject, true, order, receipt.Refusal, 503, "stopping"},
+		{"not reached", routes.NonIdempotent, closeConn, nil, true, order, receipt.Refusal, 503, "stopping"},
+		{"a body underway", routes.NonIdempotent, closeConn, nil, false, "Content-Length: 5\r\n\r\nor", receipt.Refusal, 503, "stopping"},
+		{"a chunked body underway", routes.NonIdempotent, closeConn, nil, false, "Transfer-Encoding: chunked\r\n\r\n5\r\nor", receipt.Refusal, 503, "stopping"},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			waiting := make(chan struct{}, 1)
-			scripts := []answerer{announce(waiting, row.before)}
+			scripts := []responder{announce(waiting, row.before)}
 			if row.second != nil {
-				both := inTurn(row.second, scripts[0])
-				scripts = []answerer{both, both}
+				both := firstThen(row.second, scripts[0])
+				scripts = []responder{both, both}
 			}
-			s := newSite(t, route(row.kind, 2), scripts...)
+			s := newTestServer(t, singleRoute(row.kind, 2), scripts...)
 			if row.unreachable {
 				s.gateway.Pool = upstream.NewPool(hangingDial(waiting, row.second != nil))
 			}
@@ -120,7 +120,7 @@
 }
 
 // send opens a connection and sends a request whose framing and body are given.
-func (s *site) send(framed string) net.Conn {
+func (s *testServer) send(framed string) net.Conn {
 	c, err := net.Dial("tcp", s.server.Listener.Addr().String())
 	if err != nil {
 		s.t.Fatal(err)
@@ -128,22 +128,22 @@
 	s.t.Cleanup(func() { c.Close() })
 	// A caller that gets neither an answer nor the connection's end must not hang the test.
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(c, "POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n%s", testID, testKey, framed)
+	fmt.Fprintf(c, "POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n%s", headerID, headerKey, framed)
 	return c
 }
 
 // untilInflight waits until the gateway has a request.
-func (s *site) untilInflight() {
+func (s *testServer) untilInflight() {
 	for s.gateway.InFlight() == 0 {
 		runtime.Gosched()
 	}
 }
 
 // compareAnswer reads what a caller gets of a request that is cut.
-func (s *site) compareAnswer(r *bufio.Reader, got receipt.Receipt, status int) {
+func (s *testServer) compareAnswer(r *bufio.Reader, got receipt.Receipt, status int) {
 	s.t.Helper()
 	if got == receipt.Part {
-		if rest, err := io.ReadAll(r); strings.HasSuffix(string(rest), endOfStream) {
+		if rest, err := io.ReadAll(r); strings.HasSuffix(string(rest), lastChunk) {
 			s.t.Errorf("the stream ends as if it were whole: %q %v", rest, err)
 		}
 		return
@@ -154,7 +154,7 @@
 		return
 	}
 	body, err := io.ReadAll(resp.Body)
-	if err != nil || resp.StatusCode != status || resp.Header.Get(testID) != "id-1" {
+	if err != nil || resp.StatusCode != status || resp.Header.Get(headerID) != "id-1" {
 		s.t.Errorf("the caller got %v, %q, %v; want status %d", resp, body, err, status)
 	}
 	if again := resp.Header.Get("Retry-After") != ""; again != (status == http.StatusServiceUnavailable) {
@@ -182,7 +182,7 @@
 // has ended: it is still one that left and got nothing.
 func TestCallerThatLeftBeforeAForcedStop(t *testing.T) {
 	waiting := make(chan struct{}, 1)
-	s := newSite(t, route(routes.NonIdempotent, 1), hangUp)
+	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), closeConn)
 	gone := make(chan struct{})
 	var stop func()
 	s.gateway.Pool = upstream.NewPool(func(ctx context.Context, _, _ string) (net.Conn, error) {
--- a/internal/coordination/gateway/stream.go
+++ b/internal/coordination/gateway/stream.go
@@ -68,7 +68,7 @@
 		out.stopOrdered = true
 		return out
 	}
-	return outcome{verdict: movedOn, next: next}
+	return outcome{kind: movedOn, next: next}
 }
 
 // isDocument tells a whole answer from a stream. Other types don't tell: a server that names none has one guessed.
@@ -127,10 +127,10 @@
 		x.relocation.begun.Store(true)
 		x.beginStream(resp)
 		if _, err := x.w.Write(event); err != nil {
-			return outcome{verdict: callerGone, err: err}
+			return outcome{kind: callerGone, err: err}
 		}
 		if err := flush.Flush(); err != nil {
-			return outcome{verdict: callerGone, err: err}
+			return outcome{kind: callerGone, err: err}
 		}
 	}
 }
@@ -146,7 +146,7 @@
 
 func (x *exchange) endOfStream(resp *upstream.Response) outcome {
 	x.beginStream(resp)
-	return outcome{verdict: delivered}
+	return outcome{kind: delivered}
 }
 
 // take tells whether an event is new to the caller, and counts it as passed on.
--- a/internal/coordination/gateway/sync_test.go
+++ b/internal/coordination/gateway/sync_test.go
@@ -21,7 +21,7 @@
 func TestConnectionsToAnEarlierStart(t *testing.T) {
 	var opened atomic.Int64
 	endpoint := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(testID, r.Header.Get(testID))
+		w.Header().Set(headerID, r.Header.Get(headerID))
 		w.Write([]byte("a"))
 	}))
 	endpoint.Config.ConnState = func(_ net.Conn, s http.ConnState) {
@@ -31,14 +31,14 @@
 	}
 	endpoint.Start()
 	defer endpoint.Close()
-	s := newSite(t, route(routes.NonIdempotent, 1))
+	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1))
 	known := map[string]fleet.Incarnation{}
 	for n, row := range []struct{ born, connections int64 }{{100, 1}, {100, 1}, {200, 2}} {
 		s.gateway.State.SetInstance(discovery.Instance{
 			ID: "i", Born: row.born, Revision: uint64(n + 5), Service: "s", Address: endpoint.Listener.Addr().String(), Domain: "a", Slots: 4,
 		})
 		known = s.gateway.sync(known)
-		if resp, _, err := s.ask(s.request("PUT", "/r/x", "b")); err != nil || resp.StatusCode != 200 {
+		if resp, _, err := s.do(s.newRequest("PUT", "/r/x", "b")); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v %v", resp, err)
 		}
 		if got := opened.Load(); got != row.connections {
--- a/internal/coordination/gateway/weights_test.go
+++ b/internal/coordination/gateway/weights_test.go
@@ -27,7 +27,7 @@
 // connection closes, and the caller is told at once.
 func TestReplacedWeightsThatDoNotBegin(t *testing.T) {
 	left := make(chan struct{}, 1)
-	s := newSite(t, route(routes.Streaming, 1), func(c net.Conn, _ *http.Request) {
+	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, _ *http.Request) {
 		io.Copy(io.Discard, c)
 		left <- struct{}{}
 	})
@@ -35,7 +35,7 @@
 	state.BeginWithin = 50 * time.Millisecond
 	state.SetInstance(discovery.Instance{ID: "i-0", Revision: 9, Service: "s", Address: s.endpoints[0].address, Domain: "a", Model: "m", Weights: 1})
 	state.SetNamed(discovery.Named{Model: "m", Version: 2})
-	resp, _, err := s.ask(s.request("POST", "/r/x", "prompt"))
+	resp, _, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 	if err != nil || resp.StatusCode != 502 || resp.Header.Get("X-Limpetwall-Ran") != "unknown" {
 		t.Errorf("%v %v", resp, err)
 	}
@@ -48,15 +48,15 @@
 // The engine rejects what names the old ones. Asked, it tells what it has, and the next
 // prompt names that; a crowd of rejections asks once.
 func TestEngineWithOtherWeightsIsAsked(t *testing.T) {
-	list := route(routes.Streaming, 1)
+	list := singleRoute(routes.Streaming, 1)
 	// The engine closes each connection: the next prompt must not go out on it.
-	misdirect := say(421, "")
-	s := newSite(t, list, func(c net.Conn, r *http.Request) {
-		if r.Header.Get(testWeights) != "2" {
+	misdirect := respond(421, "")
+	s := newTestServer(t, list, func(c net.Conn, r *http.Request) {
+		if r.Header.Get(headerWeights) != "2" {
 			misdirect(c, r)
 			return
 		}
-		stream(endOfStream, "1")(c, r)
+		respondStream(lastChunk, "1")(c, r)
 	})
 	engine := s.endpoints[0]
 	s.gateway.State.SetInstance(discovery.Instance{
@@ -72,7 +72,7 @@
 		return EngineReport{Weights: 2}, nil
 	}
 	prompt := func() int {
-		resp, _, err := s.ask(s.request("POST", "/r/x", "", testPart+": part"))
+		resp, _, err := s.do(s.newRequest("POST", "/r/x", "", headerSegment+": part"))
 		if err != nil {
 			t.Fatal(err)
 		}
