--- a/internal/coordination/loadreport/exchanger.go
+++ b/internal/coordination/loadreport/exchanger.go
@@ -44,8 +44,8 @@
 // Directory knows the work underway.
 type Directory interface {
 	OwnWork() []routing.Work
-	TakePeer(r routing.PeerReport, now time.Time)
-	ForgetPeers(now time.Time)
+	ApplyPeerReport(r routing.PeerReport, now time.Time)
+	ExpirePeers(now time.Time)
 }
 
 // Exchanger exchanges reports with the other processes. Its fields are set before Run.
@@ -106,7 +106,7 @@
 		select {
 		case <-ticker.C:
 			s.report(false, fanout)
-			s.Directory.ForgetPeers(time.Now())
+			s.Directory.ExpirePeers(time.Now())
 		case <-ctx.Done():
 		}
 	}
@@ -217,7 +217,7 @@
 
 func (s *Exchanger) take(r routing.PeerReport, from net.Addr) {
 	now := time.Now()
-	s.Directory.TakePeer(r, now)
+	s.Directory.ApplyPeerReport(r, now)
 	udp, ok := from.(*net.UDPAddr)
 	if !ok {
 		return
--- a/internal/coordination/loadreport/exchanger_test.go
+++ b/internal/coordination/loadreport/exchanger_test.go
@@ -33,7 +33,7 @@
 	return d.own
 }
 
-func (d *directory) TakePeer(r routing.PeerReport, _ time.Time) {
+func (d *directory) ApplyPeerReport(r routing.PeerReport, _ time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.heard[r.Sender] = r
@@ -42,7 +42,7 @@
 	}
 }
 
-func (d *directory) ForgetPeers(time.Time) {}
+func (d *directory) ExpirePeers(time.Time) {}
 
 func (d *directory) senders() []uint64 {
 	d.mu.Lock()
--- a/internal/coordination/routing/peers.go
+++ b/internal/coordination/routing/peers.go
@@ -59,8 +59,8 @@
 	return out
 }
 
-// TakePeer takes in what another process has underway.
-func (d *Directory) TakePeer(r PeerReport, now time.Time) {
+// ApplyPeerReport takes in what another process has underway.
+func (d *Directory) ApplyPeerReport(r PeerReport, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	known, ok := d.peers[r.Sender]
@@ -76,8 +76,8 @@
 	d.peers[r.Sender] = peer{r, now}
 }
 
-// ForgetPeers drops the reports of peers that have fallen silent.
-func (d *Directory) ForgetPeers(now time.Time) {
+// ExpirePeers drops the reports of peers that have fallen silent.
+func (d *Directory) ExpirePeers(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for sender, p := range d.peers {
--- a/internal/coordination/routing/peers_test.go
+++ b/internal/coordination/routing/peers_test.go
@@ -58,16 +58,16 @@
 		avoids bool
 	}{
 		{"reported", func(*Directory) {}, true},
-		{"an older report arrives late", func(d *Directory) { d.TakePeer(PeerReport{Sender: 7, Number: 1, Domain: "d"}, epoch) }, true},
-		{"another peer has nothing underway", func(d *Directory) { d.TakePeer(PeerReport{Sender: 8, Number: 1, Domain: "d"}, epoch) }, true},
-		{"done", func(d *Directory) { d.TakePeer(PeerReport{Sender: 7, Number: 3, Domain: "d"}, epoch) }, false},
-		{"leaving", func(d *Directory) { d.TakePeer(PeerReport{Sender: 7, Number: 3, Leaving: true}, epoch) }, false},
-		{"silent", func(d *Directory) { d.ForgetPeers(epoch.Add(peerForgottenAfter + time.Second)) }, false},
+		{"an older report arrives late", func(d *Directory) { d.ApplyPeerReport(PeerReport{Sender: 7, Number: 1, Domain: "d"}, epoch) }, true},
+		{"another peer has nothing underway", func(d *Directory) { d.ApplyPeerReport(PeerReport{Sender: 8, Number: 1, Domain: "d"}, epoch) }, true},
+		{"done", func(d *Directory) { d.ApplyPeerReport(PeerReport{Sender: 7, Number: 3, Domain: "d"}, epoch) }, false},
+		{"leaving", func(d *Directory) { d.ApplyPeerReport(PeerReport{Sender: 7, Number: 3, Leaving: true}, epoch) }, false},
+		{"silent", func(d *Directory) { d.ExpirePeers(epoch.Add(peerForgottenAfter + time.Second)) }, false},
 	}
 	for _, row := range rows {
 		d, _ := directoryOf(t, 2)
 		countsOnly(d, "e0", "e1")
-		d.TakePeer(busy, epoch)
+		d.ApplyPeerReport(busy, epoch)
 		row.change(d)
 		counts := chosen(d, epoch)
 		if (counts["e0"] == 0) != row.avoids {
@@ -80,7 +80,7 @@
 // discovered, and forgets sums of endpoints that nobody knows.
 func TestPeersWorkOfUnknownEndpoints(t *testing.T) {
 	d, table := directoryOf(t, 1)
-	d.TakePeer(PeerReport{Sender: 7, Number: 1, Domain: "d", Work: []Work{work("late", 3, 500), work("never", 1, 1)}}, epoch)
+	d.ApplyPeerReport(PeerReport{Sender: 7, Number: 1, Domain: "d", Work: []Work{work("late", 3, 500), work("never", 1, 1)}}, epoch)
 	table.Merge(fleet.Member{
 		ID: "late", Incarnation: 9, Version: 1, Domain: "d",
 		Endpoint: fleet.Endpoint{ID: "late", Labels: map[string]string{"pool": "x"}, Model: "m", WeightVersion: "v1"},
@@ -89,7 +89,7 @@
 	if got := d.dynamic["late"].PeerWork.Running; got != 3 {
 		t.Errorf("%d runs of peers at an endpoint that was discovered later", got)
 	}
-	d.TakePeer(PeerReport{Sender: 7, Number: 2, Leaving: true}, epoch)
+	d.ApplyPeerReport(PeerReport{Sender: 7, Number: 2, Leaving: true}, epoch)
 	d.forgetGone(table.Members())
 	if len(d.peerWork) != 2 {
 		t.Errorf("sums of %d endpoints are kept, 2 are known", len(d.peerWork))
@@ -107,7 +107,7 @@
 	keys := []contextkey.Key{{1}, {2}, {3}}
 	underway := d.Choose("s", keys, &Request{PromptTokens: 900, HeldTokens: 1000, Urgency: 1, Now: epoch})
 	d.RecordSent(underway, epoch)
-	d.TakePeer(PeerReport{Sender: 7, Number: 1, Domain: "d", Work: []Work{work("e0", 5, 800)}}, epoch)
+	d.ApplyPeerReport(PeerReport{Sender: 7, Number: 1, Domain: "d", Work: []Work{work("e0", 5, 800)}}, epoch)
 	m, _ := table.Get("e0")
 	m.Incarnation, m.Version = 77, m.Version+1
 	table.Merge(m, epoch)
@@ -266,7 +266,7 @@
 	p.reports++
 	r := PeerReport{Sender: uint64(from + 1), Number: p.reports, Domain: "d", Work: p.dirs[from].OwnWork()}
 	for i := range fanout {
-		p.dirs[(from+1+(round*fanout+i)%(playProcesses-1))%playProcesses].TakePeer(r, p.now)
+		p.dirs[(from+1+(round*fanout+i)%(playProcesses-1))%playProcesses].ApplyPeerReport(r, p.now)
 	}
 }
 
