--- a/internal/coordination/runs/atmostonce.go
+++ b/internal/coordination/runs/atmostonce.go
@@ -27,20 +27,20 @@
 	Bind(ctx context.Context, key claims.Key, proposed claims.Ticket) (claims.Ticket, error)
 }
 
-// runOnce carries out a request that may not be repeated. Its ticket names the
+// runAtMostOnce carries out a request that may not be repeated. Its ticket names the
 // one agent incarnation that may run it; whatever fails, only that incarnation
 // is asked again, and it answers from its record.
-func (r *Runner) runOnce(ctx context.Context, job *Job, p *progress) (Result, *apierror.Error) {
+func (r *Runner) runAtMostOnce(ctx context.Context, job *Job, p *progress) (Result, *apierror.Error) {
 	if job.IdempotencyKey != "" {
 		return r.runKeyed(ctx, job, p)
 	}
-	request := r.routingRequest(job, nil)
+	request := r.newRoutingRequest(job, nil)
 	var last *outcome
 	for number := uint32(1); number <= maxAttempts; number++ {
 		request.Now = time.Now()
 		choice := r.Directory.Choose(job.Service.ID, nil, request)
 		if choice.Member.ID == "" {
-			return Result{}, noEndpoint(choice.Refusal, last, p)
+			return Result{}, noEndpointError(choice.Refusal, last, p)
 		}
 		ticket, err := r.Tickets.Acquire(ctx, choice.Member)
 		if err != nil {
@@ -49,25 +49,25 @@
 			request.Exclude = append(request.Exclude, choice.Member.ID)
 			continue
 		}
-		result, out := r.follow(ctx, job, choice, ticket, p)
-		r.Directory.Done(choice, out != nil && out.failed, time.Now())
+		result, out := r.runWithTicket(ctx, job, choice, ticket, p)
+		r.Directory.Done(choice, out != nil && out.endpointFailed, time.Now())
 		if out == nil {
 			return result, nil
 		}
 		if ctx.Err() != nil {
-			if out.outlasts(ctx, p) {
-				return Result{}, out.finalOnce(p, false)
+			if out.hasPrecedence(ctx, p) {
+				return Result{}, out.atMostOnceError(p, false)
 			}
-			return Result{}, contextError(ctx, p, ranOf(out.ran))
+			return Result{}, contextError(ctx, p, ranFromWire(out.ran))
 		}
 		if out.ran != wire.Ran_RAN_NO || out.clientGone {
-			return Result{}, out.finalOnce(p, false)
+			return Result{}, out.atMostOnceError(p, false)
 		}
 		// Proven not run: another endpoint may run it under another ticket.
 		last = out
 		request.Exclude = append(request.Exclude, choice.Member.ID)
 	}
-	return Result{}, last.final(p, "all attempts failed")
+	return Result{}, last.repeatableError(p, "all attempts failed")
 }
 
 // runKeyed finds the ticket that the caller's key stands for.
@@ -77,35 +77,35 @@
 		return Result{}, apierror.New(http.StatusBadRequest, apierror.CodeKeyRequired, "the key looks like a ticket but was not issued to this customer and service")
 	}
 	if !isTicket {
-		bound, err := r.bind(ctx, job)
+		bound, err := r.bindKey(ctx, job)
 		if err != nil {
 			return Result{}, err
 		}
 		ticket = bound
 	}
-	member, known := r.memberOf(ticket.Incarnation)
+	member, known := r.liveAgent(ticket.Incarnation)
 	if !known {
 		e := apierror.New(http.StatusConflict, apierror.CodeOutcomeUnknown,
 			"the process that held this key's record is gone; whether the request ran is unknown, and it will not be run")
 		return Result{}, e.WithRan(apierror.RanUnknown, apierror.AdviceNever)
 	}
 	choice := routing.Choice{Member: member, Reason: "ticket"}
-	result, out := r.follow(ctx, job, choice, ticket, p)
+	result, out := r.runWithTicket(ctx, job, choice, ticket, p)
 	switch {
 	case out == nil:
 		return result, nil
-	case ctx.Err() != nil && !out.outlasts(ctx, p):
+	case ctx.Err() != nil && !out.hasPrecedence(ctx, p):
 		// An earlier call with the same key may have run, whatever became of this one.
 		return Result{}, contextError(ctx, p, apierror.RanUnknown)
 	default:
-		return Result{}, out.finalOnce(p, true)
+		return Result{}, out.atMostOnceError(p, true)
 	}
 }
 
-// bind proposes a ticket of a well-chosen endpoint for the caller's key.
-func (r *Runner) bind(ctx context.Context, job *Job) (claims.Ticket, *apierror.Error) {
-	request := r.routingRequest(job, nil)
-	var last error
+// bindKey proposes a ticket of a well-chosen endpoint for the caller's key.
+func (r *Runner) bindKey(ctx context.Context, job *Job) (claims.Ticket, *apierror.Error) {
+	request := r.newRoutingRequest(job, nil)
+	var lastErr error
 	for range maxAttempts {
 		request.Now = time.Now()
 		choice := r.Directory.Choose(job.Service.ID, nil, request)
@@ -115,18 +115,18 @@
 		proposed, err := r.Tickets.Acquire(ctx, choice.Member)
 		r.Directory.Done(choice, err != nil, time.Now())
 		if err != nil {
-			last = err
+			lastErr = err
 			request.Exclude = append(request.Exclude, choice.Member.ID)
 			continue
 		}
-		return r.bindTo(ctx, job, proposed)
+		return r.bindKeyTo(ctx, job, proposed)
 	}
 	// Without an endpoint to propose, the key may still be bound already.
-	ticket, e := r.bindTo(ctx, job, claims.Ticket{})
+	ticket, e := r.bindKeyTo(ctx, job, claims.Ticket{})
 	if e == nil && ticket == (claims.Ticket{}) {
 		message := "no endpoint serves this now"
-		if last != nil {
-			message += ": " + last.Error()
+		if lastErr != nil {
+			message += ": " + lastErr.Error()
 		}
 		return ticket, apierror.Later(http.StatusServiceUnavailable, apierror.CodeNoEndpoint, message, time.Second).
 			WithRan(apierror.RanNo, apierror.AdviceSameKey)
@@ -134,7 +134,7 @@
 	return ticket, e
 }
 
-func (r *Runner) bindTo(ctx context.Context, job *Job, proposed claims.Ticket) (claims.Ticket, *apierror.Error) {
+func (r *Runner) bindKeyTo(ctx context.Context, job *Job, proposed claims.Ticket) (claims.Ticket, *apierror.Error) {
 	key := claims.HashKey(job.Customer.ID, job.Service.ID, job.IdempotencyKey)
 	ticket, err := r.Binder.Bind(ctx, key, proposed)
 	switch {
@@ -151,8 +151,8 @@
 	}
 }
 
-// memberOf finds the live member with an incarnation.
-func (r *Runner) memberOf(incarnation uint64) (fleet.Member, bool) {
+// liveAgent finds the live member with an incarnation.
+func (r *Runner) liveAgent(incarnation uint64) (fleet.Member, bool) {
 	for _, m := range r.Table.Live() {
 		if m.Incarnation == incarnation && m.Role == fleet.RoleAgent {
 			return m, true
@@ -161,14 +161,14 @@
 	return fleet.Member{}, false
 }
 
-// follow sends a ticket's request and reattaches after each break, until the
+// runWithTicket sends a ticket's request and reattaches after each break, until the
 // agent has given its answer, is gone, or the time is up. It returns a nil
 // outcome with a result.
-func (r *Runner) follow(ctx context.Context, job *Job, c routing.Choice, t claims.Ticket, p *progress) (Result, *outcome) {
+func (r *Runner) runWithTicket(ctx context.Context, job *Job, c routing.Choice, t claims.Ticket, p *progress) (Result, *outcome) {
 	sent := false
 	ticket := &wire.Ticket{Incarnation: t.Incarnation, Sequence: t.Sequence}
 	for number := uint32(1); ; number++ {
-		out := r.attempt(ctx, job, c, number, ticket, p)
+		out := r.runNewAttempt(ctx, job, c, number, ticket, p)
 		if out.done {
 			return out.result(number, c), nil
 		}
@@ -180,7 +180,7 @@
 		if ctx.Err() != nil || out.clientGone || r.isFinal(out, c) {
 			return Result{}, out
 		}
-		pause(ctx, number)
+		waitBackoff(ctx, number)
 	}
 }
 
@@ -241,58 +241,58 @@
 }
 
 const (
-	// mintCount tickets are fetched from an agent at once.
-	mintCount = 32
+	// ticketBatch tickets are fetched from an agent at once.
+	ticketBatch = 32
 	// ticketMargin is left of a ticket's validity when it is used.
 	ticketMargin = time.Minute
 )
 
 // TicketPool keeps some tickets of each agent at hand.
 type TicketPool struct {
-	pool *rpc.Pool
-	mu   sync.Mutex
-	sets map[uint64]*ticketSet
+	pool   *rpc.Pool
+	mu     sync.Mutex
+	ranges map[uint64]*ticketRange
 }
 
-type ticketSet struct {
-	// mint serializes the refills of one agent.
-	mint  sync.Mutex
-	next  uint64
-	end   uint64
-	until time.Time
+type ticketRange struct {
+	// mu serializes the refills of one agent.
+	mu      sync.Mutex
+	next    uint64
+	end     uint64
+	expires time.Time
 }
 
 // NewTicketPool returns an empty pool.
 func NewTicketPool(pool *rpc.Pool) *TicketPool {
-	return &TicketPool{pool: pool, sets: map[uint64]*ticketSet{}}
+	return &TicketPool{pool: pool, ranges: map[uint64]*ticketRange{}}
 }
 
 // Acquire returns an unused ticket of a member, fetching more when it has none.
 func (t *TicketPool) Acquire(ctx context.Context, m fleet.Member) (claims.Ticket, error) {
-	set := t.set(m.Incarnation)
-	set.mint.Lock()
-	defer set.mint.Unlock()
-	if set.next == set.end || time.Now().After(set.until) {
-		if err := t.refill(ctx, m, set); err != nil {
+	tr := t.rangeOf(m.Incarnation)
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	if tr.next == tr.end || time.Now().After(tr.expires) {
+		if err := t.refill(ctx, m, tr); err != nil {
 			return claims.Ticket{}, err
 		}
 	}
-	set.next++
-	return claims.Ticket{Incarnation: m.Incarnation, Sequence: set.next - 1}, nil
+	tr.next++
+	return claims.Ticket{Incarnation: m.Incarnation, Sequence: tr.next - 1}, nil
 }
 
-func (t *TicketPool) set(incarnation uint64) *ticketSet {
+func (t *TicketPool) rangeOf(incarnation uint64) *ticketRange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	set, ok := t.sets[incarnation]
+	tr, ok := t.ranges[incarnation]
 	if !ok {
-		set = &ticketSet{}
-		t.sets[incarnation] = set
+		tr = &ticketRange{}
+		t.ranges[incarnation] = tr
 	}
-	return set
+	return tr
 }
 
-func (t *TicketPool) refill(ctx context.Context, m fleet.Member, set *ticketSet) error {
+func (t *TicketPool) refill(ctx context.Context, m fleet.Member, tr *ticketRange) error {
 	if err := t.pool.WaitReady(ctx, m.Address); err != nil {
 		return err
 	}
@@ -303,15 +303,15 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	asked := time.Now()
-	resp, err := client.MintTickets(ctx, &wire.MintTicketsRequest{Count: mintCount})
+	resp, err := client.MintTickets(ctx, &wire.MintTicketsRequest{Count: ticketBatch})
 	if err != nil {
 		return errors.Trace(err)
 	}
 	if resp.GetCount() == 0 || resp.GetIncarnation() != m.Incarnation {
 		return errors.Errorf("agent %s gave no tickets", m.ID)
 	}
-	set.next, set.end = resp.GetFirst(), resp.GetFirst()+uint64(resp.GetCount())
-	set.until = asked.Add(time.Duration(resp.GetValidMs())*time.Millisecond - ticketMargin)
+	tr.next, tr.end = resp.GetFirst(), resp.GetFirst()+uint64(resp.GetCount())
+	tr.expires = asked.Add(time.Duration(resp.GetValidMs())*time.Millisecond - ticketMargin)
 	return nil
 }
 
@@ -342,9 +342,9 @@
 func (t *TicketPool) Prune(live func(incarnation uint64) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for incarnation := range t.sets {
+	for incarnation := range t.ranges {
 		if !live(incarnation) {
-			delete(t.sets, incarnation)
+			delete(t.ranges, incarnation)
 		}
 	}
 }
--- a/internal/coordination/runs/attempt.go
+++ b/internal/coordination/runs/attempt.go
@@ -21,52 +21,52 @@
 	ticket   *wire.Ticket
 	progress *progress
 	cancel   context.CancelCauseFunc
-	// resume and skip are what the caller had when the attempt began.
-	resume []string
-	skip   int
+	// resumeTokens and skip are what the caller had when the attempt began.
+	resumeTokens []string
+	skipBytes    int
 	// offset is the index of the next token of this attempt's stream.
 	offset int
-	// output is when the endpoint's answer began; zero before.
-	output    time.Time
-	listening listening
+	// outputAt is when the endpoint's answer began; zero before.
+	outputAt time.Time
+	idle     idleTracker
 }
 
 func (a *attempt) run(ctx context.Context) *outcome {
 	member := a.choice.Member
 	if err := a.runner.Pool.WaitReady(ctx, member.Address); err != nil {
-		return notReached(ctx, err)
+		return notReachedOutcome(ctx, err)
 	}
 	client, err := a.runner.Pool.Agent(member.Address)
 	if err != nil {
-		return notReached(ctx, err)
+		return notReachedOutcome(ctx, err)
 	}
-	stream, err := client.Run(ctx, a.request(ctx))
+	stream, err := client.Run(ctx, a.newRunRequest(ctx))
 	if err != nil {
-		return a.broken(ctx, err)
+		return a.brokenOutcome(ctx, err)
 	}
 	for {
-		a.listening.begin(time.Now())
+		a.idle.begin(time.Now())
 		event, err := stream.Recv()
 		if err != nil {
-			return a.broken(ctx, err)
+			return a.brokenOutcome(ctx, err)
 		}
-		a.listening.end()
-		if out := a.take(event); out != nil {
+		a.idle.end()
+		if out := a.handle(event); out != nil {
 			return out
 		}
 	}
 }
 
-// notReached ends an attempt before anything was sent. One that was ended while it
+// notReachedOutcome ends an attempt before anything was sent. One that was ended while it
 // connected says nothing about its endpoint, nor about the round.
-func notReached(ctx context.Context, err error) *outcome {
+func notReachedOutcome(ctx context.Context, err error) *outcome {
 	if errors.Is(context.Cause(ctx), errHedgeLost) {
-		return hedgeLost()
+		return hedgeLostOutcome()
 	}
-	return &outcome{failed: true, ran: wire.Ran_RAN_NO, code: "endpoint_not_reached", message: err.Error(), retryAfter: time.Second}
+	return &outcome{endpointFailed: true, ran: wire.Ran_RAN_NO, code: "endpoint_not_reached", message: err.Error(), retryAfter: time.Second}
 }
 
-func (a *attempt) request(ctx context.Context) *wire.RunRequest {
+func (a *attempt) newRunRequest(ctx context.Context) *wire.RunRequest {
 	remaining := time.Hour
 	if deadline, ok := ctx.Deadline(); ok {
 		remaining = time.Until(deadline)
@@ -89,32 +89,32 @@
 	// before the prompt arrives refuses it, and the entry decides anew.
 	prompt.WeightVersion = a.choice.Member.Endpoint.WeightVersion
 	if a.ticket == nil {
-		prompt.ResumeTokens = a.resume
-		a.offset = len(a.resume)
+		prompt.ResumeTokens = a.resumeTokens
+		a.offset = len(a.resumeTokens)
 	}
 	r.Call = &wire.RunRequest_Prompt{Prompt: prompt}
 	return r
 }
 
-// broken ends an attempt whose stream ended without a final event.
-func (a *attempt) broken(ctx context.Context, err error) *outcome {
-	out := &outcome{failed: true, sent: true, ran: wire.Ran_RAN_UNKNOWN, code: "stream_broke", message: err.Error()}
+// brokenOutcome ends an attempt whose stream ended without a final event.
+func (a *attempt) brokenOutcome(ctx context.Context, err error) *outcome {
+	out := &outcome{endpointFailed: true, sent: true, ran: wire.Ran_RAN_UNKNOWN, code: "stream_broke", message: err.Error()}
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errHedgeLost):
-		return hedgeLost()
+		return hedgeLostOutcome()
 	case errors.Is(cause, errEndpointGone):
 		out.code, out.message = "endpoint_gone", cause.Error()
 	case cause != nil:
 		// The caller left or the time is up; the endpoint is not to blame.
-		out.failed, out.message = false, cause.Error()
+		out.endpointFailed, out.message = false, cause.Error()
 	case errors.Is(err, io.EOF):
 		out.message = "stream ended without an answer"
 	}
 	return out
 }
 
-// take handles one event; a non-nil outcome ends the attempt.
-func (a *attempt) take(e *wire.RunEvent) *outcome {
+// handle handles one event; a non-nil outcome ends the attempt.
+func (a *attempt) handle(e *wire.RunEvent) *outcome {
 	if e.GetRequestId() != a.job.RequestID || e.GetAttempt() != a.number {
 		// A late or crossed answer belongs to another attempt: it must never
 		// reach this caller.
@@ -124,45 +124,45 @@
 		a.runner.Directory.ObserveLoad(a.choice, fleet.LoadFromWire(l), time.Now())
 	}
 	if e.GetRefused() == nil && !a.progress.claim(a) {
-		return hedgeLost()
+		return hedgeLostOutcome()
 	}
-	if a.output.IsZero() && (e.GetTokens() != nil || e.GetPlainHead() != nil) {
-		a.output = time.Now()
+	if a.outputAt.IsZero() && (e.GetTokens() != nil || e.GetPlainHead() != nil) {
+		a.outputAt = time.Now()
 	}
 	switch event := e.GetEvent().(type) {
 	case *wire.RunEvent_Started:
-		return a.started(event.Started)
+		return a.handleStarted(event.Started)
 	case *wire.RunEvent_Tokens:
-		return a.tokens(event.Tokens)
+		return a.handleTokens(event.Tokens)
 	case *wire.RunEvent_PlainHead:
-		return a.head(event.PlainHead)
+		return a.handleHead(event.PlainHead)
 	case *wire.RunEvent_PlainBody:
-		return a.body(event.PlainBody)
+		return a.handleBody(event.PlainBody)
 	case *wire.RunEvent_Finished:
-		return a.finished(event.Finished)
+		return a.handleFinished(event.Finished)
 	case *wire.RunEvent_Refused:
 		return refusedOutcome(event.Refused)
 	}
 	return nil
 }
 
-func hedgeLost() *outcome {
+func hedgeLostOutcome() *outcome {
 	return &outcome{sent: true, ran: wire.Ran_RAN_UNKNOWN, code: "hedge_lost", message: errHedgeLost.Error(), cause: errHedgeLost}
 }
 
-func refusedOutcome(f *wire.Refused) *outcome {
+func refusedOutcome(r *wire.Refused) *outcome {
 	return &outcome{
-		sent: true, refused: true, ran: f.GetRan(), code: f.GetCode(), message: f.GetMessage(), crashed: f.GetCrashed(),
-		failed:     f.GetCode() == "endpoint_not_reached" || f.GetCode() == "endpoint_stream_broke",
-		retryAfter: time.Duration(f.GetRetryAfterMs()) * time.Millisecond,
+		sent: true, refused: true, ran: r.GetRan(), code: r.GetCode(), message: r.GetMessage(), crashedIncarnation: r.GetCrashed(),
+		endpointFailed: r.GetCode() == "endpoint_not_reached" || r.GetCode() == "endpoint_stream_broke",
+		retryAfter:     time.Duration(r.GetRetryAfterMs()) * time.Millisecond,
 	}
 }
 
-func gone(err error) *outcome {
+func clientGoneOutcome(err error) *outcome {
 	return &outcome{sent: true, clientGone: true, ran: wire.Ran_RAN_UNKNOWN, code: "client_gone", message: err.Error()}
 }
 
-func (a *attempt) started(s *wire.Started) *outcome {
+func (a *attempt) handleStarted(s *wire.Started) *outcome {
 	p := a.progress
 	a.runner.Directory.RecordCachedTokens(a.choice, int(s.GetCachedTokens()), int(s.GetImportedTokens()), time.Now())
 	if p.started {
@@ -170,18 +170,18 @@
 	}
 	p.started, p.weightVersion = true, s.GetWeightVersion()
 	if err := p.sink.Started(s.GetWeightVersion(), int(s.GetPromptTokens()), int(s.GetCachedTokens())); err != nil {
-		return gone(err)
+		return clientGoneOutcome(err)
 	}
 	return nil
 }
 
-// tokens delivers each token once and in order. A resumed or replayed stream
+// handleTokens delivers each token once and in order. A resumed or replayed stream
 // may repeat what the caller has; a gap means that something was lost, and the
 // attempt is given up rather than passed on with a hole.
-func (a *attempt) tokens(t *wire.Tokens) *outcome {
+func (a *attempt) handleTokens(t *wire.Tokens) *outcome {
 	p := a.progress
 	if int(t.GetOffset()) != a.offset {
-		return &outcome{failed: true, sent: true, ran: wire.Ran_RAN_YES, code: "token_gap", message: "the stream skipped tokens"}
+		return &outcome{endpointFailed: true, sent: true, ran: wire.Ran_RAN_YES, code: "token_gap", message: "the stream skipped tokens"}
 	}
 	a.offset += len(t.GetTokens())
 	have := len(p.tokens) - int(t.GetOffset())
@@ -191,42 +191,42 @@
 	fresh := t.GetTokens()[max(0, have):]
 	p.tokens = append(p.tokens, fresh...)
 	if err := p.sink.Tokens(fresh); err != nil {
-		return gone(err)
+		return clientGoneOutcome(err)
 	}
 	return nil
 }
 
-func (a *attempt) head(h *wire.PlainHead) *outcome {
+func (a *attempt) handleHead(h *wire.PlainHead) *outcome {
 	// A replay from a ticket's record repeats the head, marked as replayed.
-	if a.progress.head && (a.ticket != nil || a.progress.bodyBytes > 0) {
+	if a.progress.headSent && (a.ticket != nil || a.progress.bodyBytes > 0) {
 		return nil
 	}
-	a.progress.head = true
+	a.progress.headSent = true
 	if err := a.progress.sink.Head(h); err != nil {
-		return gone(err)
+		return clientGoneOutcome(err)
 	}
 	return nil
 }
 
-func (a *attempt) body(data []byte) *outcome {
+func (a *attempt) handleBody(data []byte) *outcome {
 	p := a.progress
-	skip := min(a.skip, len(data))
-	a.skip -= skip
+	skip := min(a.skipBytes, len(data))
+	a.skipBytes -= skip
 	data = data[skip:]
 	if len(data) == 0 {
 		return nil
 	}
 	p.bodyBytes += len(data)
 	if err := p.sink.Body(data); err != nil {
-		return gone(err)
+		return clientGoneOutcome(err)
 	}
 	return nil
 }
 
-// finished accepts the end only if every token before it has arrived.
-func (a *attempt) finished(f *wire.Finished) *outcome {
+// handleFinished accepts the end only if every token before it has arrived.
+func (a *attempt) handleFinished(f *wire.Finished) *outcome {
 	if a.job.Prompt != nil && int(f.GetCompletionTokens()) != len(a.progress.tokens) {
-		return &outcome{failed: true, sent: true, ran: wire.Ran_RAN_YES, code: "token_gap", message: "the answer ended before all its tokens arrived"}
+		return &outcome{endpointFailed: true, sent: true, ran: wire.Ran_RAN_YES, code: "token_gap", message: "the answer ended before all its tokens arrived"}
 	}
 	return &outcome{done: true, finished: f}
 }
--- a/internal/coordination/runs/crash.go
+++ b/internal/coordination/runs/crash.go
@@ -23,26 +23,26 @@
 	return about
 }
 
-// quarantined refuses a request that crashes endpoints. Of one with a key an earlier call may have run, though this
+// checkQuarantine refuses a request that crashes endpoints. Of one with a key an earlier call may have run, though this
 // one did not.
-func (r *Runner) quarantined(ctx context.Context, job *Job) *apierror.Error {
+func (r *Runner) checkQuarantine(ctx context.Context, job *Job) *apierror.Error {
 	if r.Guard.IsIdle() {
 		return nil
 	}
-	refused := r.Guard.Admit(ctx, job.fingerprint())
-	if refused != nil && job.IdempotencyKey != "" {
-		refused = refused.WithRan(apierror.RanUnknown, apierror.AdviceSameKey)
+	refusal := r.Guard.Admit(ctx, job.fingerprint())
+	if refusal != nil && job.IdempotencyKey != "" {
+		refusal = refusal.WithRan(apierror.RanUnknown, apierror.AdviceSameKey)
 	}
-	return refused
+	return refusal
 }
 
 // reportToGuard tells the guard how an attempt ended.
 func (r *Runner) reportToGuard(a *attempt, out *outcome, sent time.Time) {
 	switch {
 	case r.Guard == nil:
-	case out.crashed != 0:
-		run := quarantine.Run{Key: a.job.fingerprint(), About: a.job.about(), Sent: sent, Output: a.output}
-		r.Guard.Blame(run, out.crashed, time.Now())
+	case out.crashedIncarnation != 0:
+		run := quarantine.Run{Key: a.job.fingerprint(), About: a.job.about(), Sent: sent, Output: a.outputAt}
+		r.Guard.Blame(run, out.crashedIncarnation, time.Now())
 	case out.done && !r.Guard.IsIdle():
 		r.Guard.Survived(a.job.fingerprint())
 	}
--- a/internal/coordination/runs/hedge_test.go
+++ b/internal/coordination/runs/hedge_test.go
@@ -10,32 +10,32 @@
 	"limpetwall/internal/protocol/wire"
 )
 
-// TestOwnerFailsAfterItsClaim guards against an answer lost with the attempt that ended the other of its round.
-func TestOwnerFailsAfterItsClaim(t *testing.T) {
+// TestOwnerFailsAfterClaim guards against an answer lost with the attempt that ended the other of its round.
+func TestOwnerFailsAfterClaim(t *testing.T) {
 	rows := map[string]func(r *wire.RunRequest) []*wire.RunEvent{
-		"before its first token": func(r *wire.RunRequest) []*wire.RunEvent { return []*wire.RunEvent{event(r, started())} },
+		"before its first token": func(r *wire.RunRequest) []*wire.RunEvent { return []*wire.RunEvent{eventFor(r, started())} },
 		"after some tokens": func(r *wire.RunRequest) []*wire.RunEvent {
-			return []*wire.RunEvent{event(r, started()), event(r, tokens(0, "a", "b"))}
+			return []*wire.RunEvent{eventFor(r, started()), eventFor(r, tokens(0, "a", "b"))}
 		},
 		"its own word": func(r *wire.RunRequest) []*wire.RunEvent {
-			return []*wire.RunEvent{event(r, started()), event(r, refused("cut_by_shutdown", wire.Ran_RAN_YES))}
+			return []*wire.RunEvent{eventFor(r, started()), eventFor(r, refused("cut_by_shutdown", wire.Ran_RAN_YES))}
 		},
 	}
 	for name, owner := range rows {
 		t.Run(name, func(t *testing.T) {
 			arrived := make(chan struct{})
-			r, fake := runner(t, 3, func(_ int, q *wire.RunRequest) []*wire.RunEvent {
+			r, fake := newRunner(t, 3, func(_ int, q *wire.RunRequest) []*wire.RunEvent {
 				if q.GetAttempt() == 2 {
 					<-arrived
 					return owner(q)
 				}
 				have := len(q.GetPrompt().GetResumeTokens())
 				rest := []string{"a", "b", "c"}[have:]
-				return []*wire.RunEvent{event(q, started()), event(q, tokens(have, rest...)), event(q, finished(3))}
+				return []*wire.RunEvent{eventFor(q, started()), eventFor(q, tokens(have, rest...)), eventFor(q, finished(3))}
 			})
 			r.HedgeAfter = time.Millisecond
-			fake.silent, fake.arrived, fake.ended = 1, arrived, make(chan uint32, 1)
-			sink := &collect{}
+			fake.silentAttempt, fake.arrived, fake.ended = 1, arrived, make(chan uint32, 1)
+			sink := &recordingSink{}
 			_, err := r.Run(t.Context(), promptJob(), sink)
 			if err != nil || strings.Join(sink.tokens, "") != "abc" {
 				t.Errorf("%q %v", sink.tokens, err)
@@ -47,26 +47,26 @@
 	}
 }
 
-// TestStopDuringAHedge guards against a caller that is taken for gone as its entry is forced to stop while two attempts run.
-func TestStopDuringAHedge(t *testing.T) {
+// TestShutdownDuringHedge guards against a caller that is taken for gone as its entry is forced to stop while two attempts run.
+func TestShutdownDuringHedge(t *testing.T) {
 	both := make(chan struct{}, 2)
 	blocked := make(chan struct{})
-	r, fake := runner(t, 2, func(_ int, q *wire.RunRequest) []*wire.RunEvent {
+	r, fake := newRunner(t, 2, func(_ int, q *wire.RunRequest) []*wire.RunEvent {
 		both <- struct{}{}
 		<-blocked
 		return nil
 	})
 	r.HedgeAfter = time.Millisecond
 	defer close(blocked)
-	ctx, cut := context.WithCancelCause(t.Context())
+	ctx, cancel := context.WithCancelCause(t.Context())
 	go func() {
 		<-both
 		<-both
-		cut(ErrStopping)
+		cancel(ErrStopping)
 	}()
-	_, err := r.Run(ctx, promptJob(), &collect{})
-	if err == nil || err.Code != apierror.CodeStopping || err.Ran != apierror.RanUnknown || fake.count() != 2 {
-		t.Errorf("%d calls, %+v", fake.count(), err)
+	_, err := r.Run(ctx, promptJob(), &recordingSink{})
+	if err == nil || err.Code != apierror.CodeStopping || err.Ran != apierror.RanUnknown || fake.callCount() != 2 {
+		t.Errorf("%d calls, %+v", fake.callCount(), err)
 	}
 	if work := r.Directory.OwnWork(); len(work) != 0 {
 		t.Errorf("counted as underway: %+v", work)
--- a/internal/coordination/runs/runs.go
+++ b/internal/coordination/runs/runs.go
@@ -48,10 +48,10 @@
 	Digest []byte
 }
 
-// mayRepeat tells whether a job that may have run can be sent again. A service
+// canRepeat tells whether a job that may have run can be sent again. A service
 // that is not marked as not repeatable may still do something at each POST: only
 // methods that HTTP defines as idempotent are repeated.
-func (j *Job) mayRepeat() bool {
+func (j *Job) canRepeat() bool {
 	if j.Plain == nil {
 		return true
 	}
@@ -87,8 +87,8 @@
 	// 0 never makes one.
 	HedgeAfter time.Duration
 
-	mu       sync.Mutex
-	attempts map[string]map[*attempt]struct{}
+	mu               sync.Mutex
+	attemptsByMember map[string]map[*attempt]struct{}
 }
 
 // progress is what the caller already has. Only the attempt that owns it writes
@@ -102,19 +102,19 @@
 	started       bool
 	weightVersion string
 	tokens        []string
-	head          bool
+	headSent      bool
 	bodyBytes     int
 }
 
 // Run carries out a job. The error is its final answer.
 func (r *Runner) Run(ctx context.Context, job *Job, sink Sink) (Result, *apierror.Error) {
 	r.Budget.Earn()
-	if refused := r.quarantined(ctx, job); refused != nil {
-		return Result{}, refused
+	if refusal := r.checkQuarantine(ctx, job); refusal != nil {
+		return Result{}, refusal
 	}
 	p := &progress{sink: sink}
 	if job.Service.NotRepeatable {
-		return r.runOnce(ctx, job, p)
+		return r.runAtMostOnce(ctx, job, p)
 	}
 	return r.runRepeatable(ctx, job, p)
 }
@@ -129,7 +129,7 @@
 	return contextkey.Chain(scope, job.Prompt.GetText())
 }
 
-func (r *Runner) routingRequest(job *Job, keys []contextkey.Key) *routing.Request {
+func (r *Runner) newRoutingRequest(job *Job, keys []contextkey.Key) *routing.Request {
 	text := job.RequestID
 	tokens := 0
 	if job.Prompt != nil {
@@ -144,13 +144,13 @@
 
 func (r *Runner) runRepeatable(ctx context.Context, job *Job, p *progress) (Result, *apierror.Error) {
 	keys := contextKeys(job)
-	request := r.routingRequest(job, keys)
+	request := r.newRoutingRequest(job, keys)
 	var last *outcome
 	for number := uint32(1); number <= maxAttempts; number++ {
 		request.Now, request.WeightVersion = time.Now(), p.weightVersion
 		choice := r.Directory.Choose(job.Service.ID, keys, request)
 		if choice.Member.ID == "" {
-			return Result{}, noEndpoint(choice.Refusal, last, p)
+			return Result{}, noEndpointError(choice.Refusal, last, p)
 		}
 		// All services share the budget. Spent before an endpoint is chosen, it would be
 		// drained by a service whose only endpoint fails, without a retry, and the others'
@@ -158,38 +158,38 @@
 		// made.
 		if number > 1 && !r.Budget.Spend() {
 			r.Directory.Release(choice)
-			return Result{}, last.final(p, "the retry budget is used up")
+			return Result{}, last.repeatableError(p, "the retry budget is used up")
 		}
 		var out *outcome
-		in := &round{job: job, keys: keys, request: request, number: number, p: p}
-		out, choice, number = r.round(ctx, in, choice)
+		rd := &round{job: job, keys: keys, request: request, number: number, p: p}
+		out, choice, number = r.runRound(ctx, rd, choice)
 		if out.done {
 			return out.result(number, choice), nil
 		}
-		last = out.withRanOf(last)
+		last = out.withMergedRan(last)
 		if ctx.Err() != nil {
-			if last.outlasts(ctx, p) {
-				return Result{}, last.final(p, "")
+			if last.hasPrecedence(ctx, p) {
+				return Result{}, last.repeatableError(p, "")
 			}
-			return Result{}, contextError(ctx, p, ranOf(last.ran))
+			return Result{}, contextError(ctx, p, ranFromWire(last.ran))
 		}
-		if out.clientGone || (out.ran != wire.Ran_RAN_NO && (p.bodyBytes > 0 || !job.mayRepeat())) {
-			return Result{}, last.final(p, "")
+		if out.clientGone || (out.ran != wire.Ran_RAN_NO && (p.bodyBytes > 0 || !job.canRepeat())) {
+			return Result{}, last.repeatableError(p, "")
 		}
-		if out.crashed != 0 && r.Guard.Blocks(job.fingerprint()) {
-			return Result{}, last.final(p, "the request has crashed too many endpoints")
+		if out.crashedIncarnation != 0 && r.Guard.Blocks(job.fingerprint()) {
+			return Result{}, last.repeatableError(p, "the request has crashed too many endpoints")
 		}
-		request.Exclude = append(request.Exclude, in.failed...)
+		request.Exclude = append(request.Exclude, rd.failedMembers...)
 	}
-	return Result{}, last.final(p, "all attempts failed")
+	return Result{}, last.repeatableError(p, "all attempts failed")
 }
 
 // outcome is how one attempt ended.
 type outcome struct {
 	done     bool
 	finished *wire.Finished
-	// failed: the endpoint or the way to it failed.
-	failed bool
+	// endpointFailed: the endpoint or the way to it endpointFailed.
+	endpointFailed bool
 	// sent: the request may have reached the agent.
 	sent bool
 	// refused: it is the agent's own word.
@@ -200,8 +200,8 @@
 	message    string
 	cause      error
 	retryAfter time.Duration
-	// crashed names the endpoint's incarnation that ended under the attempt, 0 if none did.
-	crashed uint64
+	// crashedIncarnation names the endpoint's incarnation that ended under the attempt, 0 if none did.
+	crashedIncarnation uint64
 }
 
 func (o *outcome) result(number uint32, c routing.Choice) Result {
@@ -211,12 +211,12 @@
 	}
 }
 
-func (r *Runner) attempt(ctx context.Context, job *Job, c routing.Choice, number uint32, ticket *wire.Ticket, p *progress) *outcome {
-	return r.carryOut(ctx, p.newAttempt(r, job, c, number, ticket))
+func (r *Runner) runNewAttempt(ctx context.Context, job *Job, c routing.Choice, number uint32, ticket *wire.Ticket, p *progress) *outcome {
+	return r.runAttempt(ctx, p.startRound(r, job, c, number, ticket))
 }
 
-// carryOut runs an attempt to its end.
-func (r *Runner) carryOut(ctx context.Context, a *attempt) *outcome {
+// runAttempt runs an attempt to its end.
+func (r *Runner) runAttempt(ctx context.Context, a *attempt) *outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	a.setCancel(cancel)
@@ -230,29 +230,29 @@
 		zap.String("service", a.job.Service.ID), zap.String("endpoint", a.choice.Member.Endpoint.ID),
 		zap.Uint32("attempt", a.number), zap.String("decision", string(a.choice.Reason)),
 		zap.Duration("expected_ttft", a.choice.TTFT), zap.Bool("done", out.done), zap.String("code", out.code),
-		zap.String("reason", out.message), zap.Bool("endpoint_crashed", out.crashed != 0))
+		zap.String("reason", out.message), zap.Bool("endpoint_crashed", out.crashedIncarnation != 0))
 	return out
 }
 
 // RetryBudget bounds retries to a share of the requests, so that a failing
 // fleet is not loaded with a multiple of its traffic.
 type RetryBudget struct {
-	mu     sync.Mutex
-	tokens float64
-	share  float64
-	most   float64
+	mu        sync.Mutex
+	tokens    float64
+	ratio     float64
+	maxTokens float64
 }
 
 // NewRetryBudget allows share retries a request, and up to burst at once.
-func NewRetryBudget(share, burst float64) *RetryBudget {
-	return &RetryBudget{tokens: burst, share: share, most: burst}
+func NewRetryBudget(ratio, burst float64) *RetryBudget {
+	return &RetryBudget{tokens: burst, ratio: ratio, maxTokens: burst}
 }
 
 // Earn counts a new request.
 func (b *RetryBudget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.most, b.tokens+b.share)
+	b.tokens = min(b.maxTokens, b.tokens+b.ratio)
 }
 
 // Spend takes one retry, or reports false if there is none left.
@@ -270,11 +270,11 @@
 func (b *RetryBudget) Refund() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.most, b.tokens+1)
+	b.tokens = min(b.maxTokens, b.tokens+1)
 }
 
-// pause waits between reattachments, with full jitter.
-func pause(ctx context.Context, number uint32) {
+// waitBackoff waits between reattachments, with full jitter.
+func waitBackoff(ctx context.Context, number uint32) {
 	limit := min(time.Second, 20*time.Millisecond<<min(number, 8))
 	timer := time.NewTimer(time.Duration(rand.Int64N(int64(limit))))
 	defer timer.Stop()
--- a/internal/coordination/runs/runs_test.go
+++ b/internal/coordination/runs/runs_test.go
@@ -31,14 +31,14 @@
 	calls int
 	// script returns the events of the n-th call, counted from 1.
 	script func(n int, r *wire.RunRequest) []*wire.RunEvent
-	// silent is the attempt that says nothing until its caller leaves, which ended
+	// silentAttempt is the attempt that says nothing until its caller leaves, which ended
 	// then receives; arrived is closed when it has reached the agent.
-	silent  uint32
-	arrived chan struct{}
-	ended   chan uint32
+	silentAttempt uint32
+	arrived       chan struct{}
+	ended         chan uint32
 }
 
-func (f *fakeAgent) count() int {
+func (f *fakeAgent) callCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
@@ -49,7 +49,7 @@
 	f.calls++
 	n := f.calls
 	f.mu.Unlock()
-	if f.silent != 0 && f.silent == r.GetAttempt() {
+	if f.silentAttempt != 0 && f.silentAttempt == r.GetAttempt() {
 		close(f.arrived)
 		<-s.Context().Done()
 		f.ended <- r.GetAttempt()
@@ -63,20 +63,20 @@
 	return nil
 }
 
-// collect is a sink that keeps what it is given.
-type collect struct {
+// recordingSink is a sink that keeps what it is given.
+type recordingSink struct {
 	tokens []string
 	body   string
 	status int32
 }
 
-func (c *collect) Started(string, int, int) error { return nil }
-func (c *collect) Tokens(t []string) error        { c.tokens = append(c.tokens, t...); return nil }
-func (c *collect) Head(h *wire.PlainHead) error   { c.status = h.GetStatus(); return nil }
-func (c *collect) Body(b []byte) error            { c.body += string(b); return nil }
+func (c *recordingSink) Started(string, int, int) error { return nil }
+func (c *recordingSink) Tokens(t []string) error        { c.tokens = append(c.tokens, t...); return nil }
+func (c *recordingSink) Head(h *wire.PlainHead) error   { c.status = h.GetStatus(); return nil }
+func (c *recordingSink) Body(b []byte) error            { c.body += string(b); return nil }
 
-// event builds an event of a request's own attempt.
-func event(r *wire.RunRequest, e *wire.RunEvent) *wire.RunEvent {
+// eventFor builds an eventFor of a request's own attempt.
+func eventFor(r *wire.RunRequest, e *wire.RunEvent) *wire.RunEvent {
 	e.RequestId, e.Attempt = r.GetRequestId(), r.GetAttempt()
 	return e
 }
@@ -97,8 +97,8 @@
 	return &wire.RunEvent{Event: &wire.RunEvent_Refused{Refused: &wire.Refused{Code: code, Ran: ran}}}
 }
 
-// runner returns a runner before some fake agents that share a script.
-func runner(t *testing.T, agents int, script func(n int, r *wire.RunRequest) []*wire.RunEvent) (*Runner, *fakeAgent) {
+// newRunner returns a newRunner before some fake agents that share a script.
+func newRunner(t *testing.T, agents int, script func(n int, r *wire.RunRequest) []*wire.RunEvent) (*Runner, *fakeAgent) {
 	fake := &fakeAgent{script: script}
 	now := time.Now()
 	table := fleet.NewTable(fleet.DefaultConfig(), fleet.Member{ID: "entry", Role: fleet.RoleEntry}, now)
@@ -140,18 +140,18 @@
 	}
 }
 
-// TestEachCallerGetsItsOwnWholeAnswer feeds a caller's stream with what a
+// TestAnswerIsCompleteAndInOrder feeds a caller's stream with what a
 // confused network or agent could send.
 //
 // The caller sees a, b, c, d once and in order, or an error; never another
 // request's tokens, those of an earlier attempt, a repeated or missing one.
-func TestEachCallerGetsItsOwnWholeAnswer(t *testing.T) {
-	whole := func(r *wire.RunRequest) []*wire.RunEvent {
+func TestAnswerIsCompleteAndInOrder(t *testing.T) {
+	wholeAnswer := func(r *wire.RunRequest) []*wire.RunEvent {
 		rest := []string{"a", "b", "c", "d"}[len(r.GetPrompt().GetResumeTokens()):]
-		return []*wire.RunEvent{event(r, started()), event(r, tokens(4-len(rest), rest...)), event(r, finished(4))}
+		return []*wire.RunEvent{eventFor(r, started()), eventFor(r, tokens(4-len(rest), rest...)), eventFor(r, finished(4))}
 	}
-	other := func(e *wire.RunEvent) *wire.RunEvent { e.RequestId, e.Attempt = "other", 1; return e }
-	late := func(r *wire.RunRequest, e *wire.RunEvent) *wire.RunEvent {
+	fromOtherRequest := func(e *wire.RunEvent) *wire.RunEvent { e.RequestId, e.Attempt = "other", 1; return e }
+	fromEarlierAttempt := func(r *wire.RunRequest, e *wire.RunEvent) *wire.RunEvent {
 		e.RequestId, e.Attempt = r.GetRequestId(), r.GetAttempt()-1
 		return e
 	}
@@ -160,63 +160,63 @@
 		script func(n int, r *wire.RunRequest) []*wire.RunEvent
 		calls  int
 	}{
-		{"in order", func(_ int, r *wire.RunRequest) []*wire.RunEvent { return whole(r) }, 1},
+		{"in order", func(_ int, r *wire.RunRequest) []*wire.RunEvent { return wholeAnswer(r) }, 1},
 		{"another request's tokens between", func(_ int, r *wire.RunRequest) []*wire.RunEvent {
-			return append([]*wire.RunEvent{other(tokens(0, "X")), other(finished(1))}, whole(r)...)
+			return append([]*wire.RunEvent{fromOtherRequest(tokens(0, "X")), fromOtherRequest(finished(1))}, wholeAnswer(r)...)
 		}, 1},
 		{"an earlier attempt's tokens between", func(_ int, r *wire.RunRequest) []*wire.RunEvent {
-			return append([]*wire.RunEvent{late(r, tokens(0, "X")), late(r, finished(1))}, whole(r)...)
+			return append([]*wire.RunEvent{fromEarlierAttempt(r, tokens(0, "X")), fromEarlierAttempt(r, finished(1))}, wholeAnswer(r)...)
 		}, 1},
 		{"the stream ends early", func(n int, r *wire.RunRequest) []*wire.RunEvent {
 			if n == 1 {
-				return []*wire.RunEvent{event(r, started()), event(r, tokens(0, "a", "b"))}
+				return []*wire.RunEvent{eventFor(r, started()), eventFor(r, tokens(0, "a", "b"))}
 			}
-			return whole(r)
+			return wholeAnswer(r)
 		}, 2},
 		{"tokens are missing in the middle", func(n int, r *wire.RunRequest) []*wire.RunEvent {
 			if n == 1 {
-				return []*wire.RunEvent{event(r, started()), event(r, tokens(0, "a")), event(r, tokens(2, "c", "d")), event(r, finished(4))}
+				return []*wire.RunEvent{eventFor(r, started()), eventFor(r, tokens(0, "a")), eventFor(r, tokens(2, "c", "d")), eventFor(r, finished(4))}
 			}
-			return whole(r)
+			return wholeAnswer(r)
 		}, 2},
 		{"the end comes before all tokens", func(n int, r *wire.RunRequest) []*wire.RunEvent {
 			if n == 1 {
-				return []*wire.RunEvent{event(r, started()), event(r, tokens(0, "a")), event(r, finished(4))}
+				return []*wire.RunEvent{eventFor(r, started()), eventFor(r, tokens(0, "a")), eventFor(r, finished(4))}
 			}
-			return whole(r)
+			return wholeAnswer(r)
 		}, 2},
 		{"the endpoint is busy, another is not", func(n int, r *wire.RunRequest) []*wire.RunEvent {
 			if n == 1 {
-				return []*wire.RunEvent{event(r, refused("endpoint_busy", wire.Ran_RAN_NO))}
+				return []*wire.RunEvent{eventFor(r, refused("endpoint_busy", wire.Ran_RAN_NO))}
 			}
-			return whole(r)
+			return wholeAnswer(r)
 		}, 2},
 		{"the weights were swapped before it arrived", func(n int, r *wire.RunRequest) []*wire.RunEvent {
 			if n == 1 {
-				return []*wire.RunEvent{event(r, refused("weight_version_changed", wire.Ran_RAN_NO))}
+				return []*wire.RunEvent{eventFor(r, refused("weight_version_changed", wire.Ran_RAN_NO))}
 			}
-			return whole(r)
+			return wholeAnswer(r)
 		}, 2},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			r, fake := runner(t, 3, row.script)
-			sink := &collect{}
+			r, fake := newRunner(t, 3, row.script)
+			sink := &recordingSink{}
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 			defer cancel()
 			_, err := r.Run(ctx, promptJob(), sink)
-			if err != nil || strings.Join(sink.tokens, "") != "abcd" || fake.count() != row.calls {
-				t.Errorf("got %q after %d calls, %v", sink.tokens, fake.count(), err)
+			if err != nil || strings.Join(sink.tokens, "") != "abcd" || fake.callCount() != row.calls {
+				t.Errorf("got %q after %d calls, %v", sink.tokens, fake.callCount(), err)
 			}
 		})
 	}
 }
 
-// TestFinalAnswersComeAtOnce lets every attempt fail.
+// TestFinalErrorIsReturnedAtOnce lets every attempt fail.
 //
 // The caller gets one final answer, with the truth about execution and when to
 // come back; the entry does not hold it until the deadline.
-func TestFinalAnswersComeAtOnce(t *testing.T) {
+func TestFinalErrorIsReturnedAtOnce(t *testing.T) {
 	rows := []struct {
 		name   string
 		events func(r *wire.RunRequest) []*wire.RunEvent
@@ -225,31 +225,31 @@
 		code   string
 	}{
 		{"all busy", func(r *wire.RunRequest) []*wire.RunEvent {
-			return []*wire.RunEvent{event(r, refused("endpoint_busy", wire.Ran_RAN_NO))}
+			return []*wire.RunEvent{eventFor(r, refused("endpoint_busy", wire.Ran_RAN_NO))}
 		}, http.StatusServiceUnavailable, apierror.RanNo, "endpoint_busy"},
 		{"all broken before the first token", func(*wire.RunRequest) []*wire.RunEvent { return nil },
 			http.StatusBadGateway, apierror.RanUnknown, "stream_broke"},
 		{"all broken after the first token", func(r *wire.RunRequest) []*wire.RunEvent {
-			return []*wire.RunEvent{event(r, started())}
+			return []*wire.RunEvent{eventFor(r, started())}
 		}, http.StatusBadGateway, apierror.RanYes, apierror.CodeStreamLost},
 	}
 	for _, row := range rows {
-		r, _ := runner(t, 2, func(_ int, q *wire.RunRequest) []*wire.RunEvent { return row.events(q) })
-		_, err := r.Run(t.Context(), promptJob(), &collect{})
+		r, _ := newRunner(t, 2, func(_ int, q *wire.RunRequest) []*wire.RunEvent { return row.events(q) })
+		_, err := r.Run(t.Context(), promptJob(), &recordingSink{})
 		if err == nil || err.Status != row.status || err.Ran != row.ran || err.Code != row.code || err.Retry.AfterMS <= 0 {
 			t.Errorf("%s: %+v", row.name, err)
 		}
 	}
-	r, _ := runner(t, 0, nil)
-	if _, err := r.Run(t.Context(), promptJob(), &collect{}); err == nil || err.Code != apierror.CodeNoEndpoint || err.Ran != apierror.RanNo {
+	r, _ := newRunner(t, 0, nil)
+	if _, err := r.Run(t.Context(), promptJob(), &recordingSink{}); err == nil || err.Code != apierror.CodeNoEndpoint || err.Ran != apierror.RanNo {
 		t.Errorf("no endpoint: %+v", err)
 	}
 }
 
-const closedIncarnation = 9
+const unreachableIncarnation = 9
 
-// addClosed adds an agent at an address that nobody listens on.
-func addClosed(t *testing.T, r *Runner) {
+// addUnreachableAgent adds an agent at an address that nobody listens on.
+func addUnreachableAgent(t *testing.T, r *Runner) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -258,7 +258,7 @@
 	}
 	listener.Close()
 	r.Table.Merge(fleet.Member{
-		ID: "closed", Incarnation: closedIncarnation, Version: 1, Address: listener.Addr().String(), Role: fleet.RoleAgent,
+		ID: "closed", Incarnation: unreachableIncarnation, Version: 1, Address: listener.Addr().String(), Role: fleet.RoleAgent,
 		Endpoint: fleet.Endpoint{ID: "closed", Labels: map[string]string{"pool": "x"}, Model: "m", WeightVersion: "v1"},
 	}, time.Now())
 }
@@ -270,54 +270,54 @@
 	return job
 }
 
-// TestNotRunSpeaksForAllAttempts loses the answer of a request at one endpoint and has the
+// TestRanIsMergedAcrossAttempts loses the answer of a request at one endpoint and has the
 // next one not run it.
 //
 // The caller must not be told "ran: no" with 503: the first endpoint may have run it, and
 // only the attempt after it provably did not, as it was refused or reached nobody.
-func TestNotRunSpeaksForAllAttempts(t *testing.T) {
+func TestRanIsMergedAcrossAttempts(t *testing.T) {
 	refusedAfterLoss := func(n int, q *wire.RunRequest) []*wire.RunEvent {
 		if n == 1 {
 			return nil
 		}
-		return []*wire.RunEvent{event(q, refused("endpoint_busy", wire.Ran_RAN_NO))}
+		return []*wire.RunEvent{eventFor(q, refused("endpoint_busy", wire.Ran_RAN_NO))}
 	}
 	t.Run("a prompt is refused", func(t *testing.T) {
-		r, fake := runner(t, 2, refusedAfterLoss)
+		r, fake := newRunner(t, 2, refusedAfterLoss)
 		checkRanUnknown(t, r, fake, promptJob(), 2)
 	})
 	t.Run("a GET is refused", func(t *testing.T) {
-		r, fake := runner(t, 2, refusedAfterLoss)
+		r, fake := newRunner(t, 2, refusedAfterLoss)
 		checkRanUnknown(t, r, fake, plainJob(http.MethodGet), 2)
 	})
 	t.Run("two are refused", func(t *testing.T) {
-		r, fake := runner(t, 3, refusedAfterLoss)
+		r, fake := newRunner(t, 3, refusedAfterLoss)
 		checkRanUnknown(t, r, fake, promptJob(), 3)
 	})
 	t.Run("the budget is used up after a refusal", func(t *testing.T) {
-		r, fake := runner(t, 3, refusedAfterLoss)
+		r, fake := newRunner(t, 3, refusedAfterLoss)
 		r.Budget = NewRetryBudget(0, 1)
 		checkRanUnknown(t, r, fake, promptJob(), 2)
 	})
 	t.Run("the other is not reached", func(t *testing.T) {
 		var r *Runner
-		r, fake := runner(t, 1, func(int, *wire.RunRequest) []*wire.RunEvent {
+		r, fake := newRunner(t, 1, func(int, *wire.RunRequest) []*wire.RunEvent {
 			// Only now is there another endpoint, so that it is the second that is chosen.
-			addClosed(t, r)
+			addUnreachableAgent(t, r)
 			return nil
 		})
 		checkRanUnknown(t, r, fake, promptJob(), 1)
 	})
 }
 
-// TestNotRunSpeaksForBothOfARound loses the answer of an attempt whose first token is late,
+// TestRanIsMergedAcrossHedge loses the answer of an attempt whose first token is late,
 // and has the second attempt beside it refused.
 //
 // The caller must not be told "ran: no" with 503: the refusal comes last and counts, but the
 // first endpoint may have run the prompt.
-func TestNotRunSpeaksForBothOfARound(t *testing.T) {
+func TestRanIsMergedAcrossHedge(t *testing.T) {
 	second, firstEnded := make(chan struct{}), make(chan struct{})
-	r, fake := runner(t, 2, func(n int, q *wire.RunRequest) []*wire.RunEvent {
+	r, fake := newRunner(t, 2, func(n int, q *wire.RunRequest) []*wire.RunEvent {
 		switch n {
 		case 1:
 			<-second
@@ -326,7 +326,7 @@
 			close(second)
 			<-firstEnded
 		}
-		return []*wire.RunEvent{event(q, refused("endpoint_busy", wire.Ran_RAN_NO))}
+		return []*wire.RunEvent{eventFor(q, refused("endpoint_busy", wire.Ran_RAN_NO))}
 	})
 	r.HedgeAfter = time.Millisecond
 	var once sync.Once
@@ -345,8 +345,8 @@
 	}))
 }
 
-// told is what a caller reads of an error.
-func told(err *apierror.Error) string {
+// describe is what a caller reads of an error.
+func describe(err *apierror.Error) string {
 	if err == nil {
 		return "nothing"
 	}
@@ -358,22 +358,22 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	_, err := r.Run(ctx, job, &collect{})
+	_, err := r.Run(ctx, job, &recordingSink{})
 	if err == nil || err.Ran != apierror.RanUnknown || err.Status != http.StatusBadGateway {
-		t.Errorf("the caller is told %s; want 502, ran unknown", told(err))
+		t.Errorf("the caller is told %s; want 502, ran unknown", describe(err))
 	}
-	if fake.count() != calls {
-		t.Errorf("%d runs arrived, want %d", fake.count(), calls)
+	if fake.callCount() != calls {
+		t.Errorf("%d runs arrived, want %d", fake.callCount(), calls)
 	}
 }
 
-// TestRefusalGoesBeforeTheContextsEnd ends a request's context just after an endpoint's word
+// TestRefusalTakesPrecedenceOverContextEnd ends a request's context just after an endpoint's word
 // has arrived, and before the runner goes on.
 //
 // The caller must read that word. "The time is up, ran: unknown" in its place has it doubt a
 // request that provably did not run, or repeat one that can never be answered. Only a word
 // that is not certain, or one that comes to a caller that left, gives way.
-func TestRefusalGoesBeforeTheContextsEnd(t *testing.T) {
+func TestRefusalTakesPrecedenceOverContextEnd(t *testing.T) {
 	rows := []struct {
 		name  string
 		job   *Job
@@ -402,43 +402,43 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			r, _ := runner(t, 2, func(n int, q *wire.RunRequest) []*wire.RunEvent {
+			r, _ := newRunner(t, 2, func(n int, q *wire.RunRequest) []*wire.RunEvent {
 				if row.lost && n == 1 {
 					return nil
 				}
-				return []*wire.RunEvent{event(q, refused(row.code, row.ran))}
+				return []*wire.RunEvent{eventFor(q, refused(row.code, row.ran))}
 			})
 			ctx, cancel := context.WithCancelCause(t.Context())
 			defer cancel(nil)
-			left := 1
+			attemptsLeft := 1
 			if row.lost {
-				left = 2
+				attemptsLeft = 2
 			}
 			onAttemptEnd(r, func() {
-				if left--; left == 0 {
+				if attemptsLeft--; attemptsLeft == 0 {
 					cancel(row.cause)
 				}
 			})
-			_, err := r.Run(ctx, row.job, &collect{})
-			if got := told(err); got != row.want {
+			_, err := r.Run(ctx, row.job, &recordingSink{})
+			if got := describe(err); got != row.want {
 				t.Errorf("the caller is told %s; want %s", got, row.want)
 			}
 		})
 	}
 }
 
-// TestKeyedCallThatReachesNobody ends the time of a call whose agent can't be reached.
+// TestKeyedCallToUnreachableAgent ends the time of a call whose agent can't be reached.
 //
 // Nothing was sent, but the caller must not be told "ran: no": an earlier call with the same
 // key may have reached the agent and run.
-func TestKeyedCallThatReachesNobody(t *testing.T) {
-	r, _ := runner(t, 0, nil)
-	addClosed(t, r)
+func TestKeyedCallToUnreachableAgent(t *testing.T) {
+	r, _ := newRunner(t, 0, nil)
+	addUnreachableAgent(t, r)
 	ctx, cancel := context.WithCancelCause(t.Context())
 	defer cancel(nil)
 	onAttemptEnd(r, func() { cancel(context.DeadlineExceeded) })
-	_, err := r.Run(ctx, keyedJob(closedIncarnation), &collect{})
-	if got, want := told(err), "504 timeout, ran unknown, retry_after"; got != want {
+	_, err := r.Run(ctx, keyedJob(unreachableIncarnation), &recordingSink{})
+	if got, want := describe(err), "504 timeout, ran unknown, retry_after"; got != want {
 		t.Errorf("the caller is told %s; want %s", got, want)
 	}
 }
@@ -451,17 +451,17 @@
 	return job
 }
 
-// TestResumeKeepsItsVersion breaks a stream and leaves only another weight
+// TestResumeKeepsWeightVersion breaks a stream and leaves only another weight
 // version: the answer is not continued by it.
-func TestResumeKeepsItsVersion(t *testing.T) {
-	r, fake := runner(t, 2, func(_ int, q *wire.RunRequest) []*wire.RunEvent {
+func TestResumeKeepsWeightVersion(t *testing.T) {
+	r, fake := newRunner(t, 2, func(_ int, q *wire.RunRequest) []*wire.RunEvent {
 		e := started()
 		e.GetStarted().WeightVersion = "v2" // swapped between admission and start
-		return []*wire.RunEvent{event(q, e), event(q, tokens(0, "a"))}
+		return []*wire.RunEvent{eventFor(q, e), eventFor(q, tokens(0, "a"))}
 	})
-	_, err := r.Run(t.Context(), promptJob(), &collect{})
-	if err == nil || err.Code != apierror.CodeStreamLost || fake.count() != 1 {
-		t.Errorf("%+v after %d calls", err, fake.count())
+	_, err := r.Run(t.Context(), promptJob(), &recordingSink{})
+	if err == nil || err.Code != apierror.CodeStreamLost || fake.callCount() != 1 {
+		t.Errorf("%+v after %d calls", err, fake.callCount())
 	}
 }
 
@@ -475,12 +475,12 @@
 	arrived := make(chan struct{})
 	whole := func(_ int, r *wire.RunRequest) []*wire.RunEvent {
 		<-arrived
-		return []*wire.RunEvent{event(r, started()), event(r, tokens(0, "a", "b")), event(r, finished(2))}
+		return []*wire.RunEvent{eventFor(r, started()), eventFor(r, tokens(0, "a", "b")), eventFor(r, finished(2))}
 	}
-	r, fake := runner(t, 2, whole)
+	r, fake := newRunner(t, 2, whole)
 	r.HedgeAfter = time.Millisecond
-	fake.silent, fake.arrived, fake.ended = 1, arrived, make(chan uint32, 1)
-	sink := &collect{}
+	fake.silentAttempt, fake.arrived, fake.ended = 1, arrived, make(chan uint32, 1)
+	sink := &recordingSink{}
 	result, err := r.Run(t.Context(), promptJob(), sink)
 	if err != nil || strings.Join(sink.tokens, "") != "ab" || result.Attempts != 2 {
 		t.Errorf("%q %+v %v", sink.tokens, result, err)
@@ -491,42 +491,42 @@
 
 	r.Budget = NewRetryBudget(0, 0)
 	job, p := promptJob(), &progress{}
-	in := &round{job: job, request: r.routingRequest(job, nil), number: 1, p: p}
+	in := &round{job: job, request: r.newRoutingRequest(job, nil), number: 1, p: p}
 	choice := r.Directory.Choose("s", nil, in.request)
-	first := p.newAttempt(r, job, choice, 1, nil)
-	if second := r.hedge(in, first); second != nil {
+	first := p.startRound(r, job, choice, 1, nil)
+	if second := r.newHedge(in, first); second != nil {
 		t.Error("a second attempt without a budget")
 	}
-	second := p.addAttempt(first, choice, 2)
+	second := p.addHedge(first, choice, 2)
 	if !p.claim(second) || p.claim(first) || !p.claim(second) {
 		t.Error("two attempts own one round")
 	}
-	if p.addAttempt(first, choice, 3) != nil {
+	if p.addHedge(first, choice, 3) != nil {
 		t.Error("a second attempt after the first token")
 	}
 	plain := &round{job: &Job{Plain: &wire.PlainCall{}}}
-	if late := r.lateTimer(plain, choice); !late.Reset(time.Hour) {
+	if late := r.hedgeTimer(plain, choice); !late.Reset(time.Hour) {
 		t.Error("a plain call has a second attempt due")
 	}
 }
 
-// TestStoppedAttemptsSayNothing guards against an endpoint that hangs and stays in use, as each attempt at it that was
+// TestHedgeLoserIsNotCountedAsSuccess guards against an endpoint that hangs and stays in use, as each attempt at it that was
 // stopped counts as a success.
-func TestStoppedAttemptsSayNothing(t *testing.T) {
+func TestHedgeLoserIsNotCountedAsSuccess(t *testing.T) {
 	stopped := map[string]func(*Runner, *round, *attempt){
-		"the other attempt was sooner": func(r *Runner, _ *round, a *attempt) { r.judge(a, hedgeLost()) },
+		"the other attempt was sooner": func(r *Runner, _ *round, a *attempt) { r.reportToDirectory(a, hedgeLostOutcome()) },
 		"the first attempt was sooner before it began": func(r *Runner, in *round, a *attempt) {
 			r.Directory.Release(a.choice)
 			first := &attempt{runner: r, job: in.job, progress: in.p, choice: routing.Choice{Member: fleet.Member{ID: "other"}}}
 			in.p.owner = first
-			if r.hedge(in, first) != nil {
+			if r.newHedge(in, first) != nil {
 				t.Error("a second attempt after the first token")
 			}
 		},
 	}
 	for name, stop := range stopped {
 		t.Run(name, func(t *testing.T) {
-			r, in, first := lateRound(t, 2)
+			r, in, first := newRound(t, 2)
 			hanging := first.choice.Member.ID
 			for _, m := range r.Table.Members() {
 				if m.ID != hanging {
@@ -535,13 +535,13 @@
 			}
 			for n := range 4 {
 				if n > 0 {
-					first = in.p.newAttempt(r, in.job, r.Directory.Choose("s", nil, in.request), 1, nil)
+					first = in.p.startRound(r, in.job, r.Directory.Choose("s", nil, in.request), 1, nil)
 				}
 				if n == 2 {
 					stop(r, in, first)
 					continue
 				}
-				r.judge(first, &outcome{failed: true})
+				r.reportToDirectory(first, &outcome{endpointFailed: true})
 			}
 			in.request.Exclude = nil
 			for range 20 {
@@ -553,12 +553,12 @@
 	}
 }
 
-// TestFailedRoundGoesElsewhere guards against a retry at an endpoint that has just failed beside another.
-func TestFailedRoundGoesElsewhere(t *testing.T) {
+// TestRetryExcludesBothFailedEndpoints guards against a retry at an endpoint that has just failed beside another.
+func TestRetryExcludesBothFailedEndpoints(t *testing.T) {
 	var mu sync.Mutex
 	var tried []uint64
 	both := make(chan struct{})
-	r, _ := runner(t, 3, func(n int, q *wire.RunRequest) []*wire.RunEvent {
+	r, _ := newRunner(t, 3, func(n int, q *wire.RunRequest) []*wire.RunEvent {
 		mu.Lock()
 		tried = append(tried, q.GetWantIncarnation())
 		mu.Unlock()
@@ -570,10 +570,10 @@
 			close(both)
 			return nil
 		}
-		return []*wire.RunEvent{event(q, started()), event(q, tokens(0, "a")), event(q, finished(1))}
+		return []*wire.RunEvent{eventFor(q, started()), eventFor(q, tokens(0, "a")), eventFor(q, finished(1))}
 	})
 	r.HedgeAfter, r.Budget = time.Millisecond, NewRetryBudget(1, 100)
-	if _, err := r.Run(t.Context(), promptJob(), &collect{}); err != nil {
+	if _, err := r.Run(t.Context(), promptJob(), &recordingSink{}); err != nil {
 		t.Error(err)
 	}
 	slices.Sort(tried)
@@ -582,16 +582,16 @@
 	}
 }
 
-// TestHedgesDoNotMix lets both attempts of many runs answer at about the same time.
-func TestHedgesDoNotMix(t *testing.T) {
-	r, _ := runner(t, 3, func(n int, r *wire.RunRequest) []*wire.RunEvent {
+// TestHedgedAnswersAreNotMixed lets both attempts of many runs answer at about the same time.
+func TestHedgedAnswersAreNotMixed(t *testing.T) {
+	r, _ := newRunner(t, 3, func(n int, r *wire.RunRequest) []*wire.RunEvent {
 		time.Sleep(time.Duration(n%3) * time.Millisecond)
 		mine := fmt.Sprint(r.GetAttempt())
-		return []*wire.RunEvent{event(r, started()), event(r, tokens(0, mine)), event(r, tokens(1, mine)), event(r, tokens(2, mine)), event(r, finished(3))}
+		return []*wire.RunEvent{eventFor(r, started()), eventFor(r, tokens(0, mine)), eventFor(r, tokens(1, mine)), eventFor(r, tokens(2, mine)), eventFor(r, finished(3))}
 	})
 	r.HedgeAfter, r.Budget = time.Microsecond, NewRetryBudget(1, 1000)
 	for range 200 {
-		sink := &collect{}
+		sink := &recordingSink{}
 		if _, err := r.Run(t.Context(), promptJob(), sink); err != nil {
 			t.Fatal(err)
 		}
@@ -617,22 +617,22 @@
 		{http.MethodPost, func(*wire.RunRequest) []*wire.RunEvent { return nil }, 1},
 		{http.MethodPatch, func(*wire.RunRequest) []*wire.RunEvent { return nil }, 1},
 		{http.MethodPost, func(r *wire.RunRequest) []*wire.RunEvent {
-			return []*wire.RunEvent{event(r, refused("endpoint_not_reached", wire.Ran_RAN_NO))}
+			return []*wire.RunEvent{eventFor(r, refused("endpoint_not_reached", wire.Ran_RAN_NO))}
 		}, 3},
 	}
 	for _, row := range rows {
-		r, fake := runner(t, 3, func(_ int, q *wire.RunRequest) []*wire.RunEvent { return row.events(q) })
+		r, fake := newRunner(t, 3, func(_ int, q *wire.RunRequest) []*wire.RunEvent { return row.events(q) })
 		job := promptJob()
 		job.Prompt, job.Plain = nil, &wire.PlainCall{Method: row.method, Path: "/"}
 		job.Service.Kind = config.ServicePlain
-		if _, err := r.Run(t.Context(), job, &collect{}); err == nil || fake.count() != row.calls {
-			t.Errorf("%s: %d calls, want %d, %v", row.method, fake.count(), row.calls, err)
+		if _, err := r.Run(t.Context(), job, &recordingSink{}); err == nil || fake.callCount() != row.calls {
+			t.Errorf("%s: %d calls, want %d, %v", row.method, fake.callCount(), row.calls, err)
 		}
 	}
 }
 
-// TestHeadWithoutBodyIsRepeated guards against "the answer broke off" where the caller has no byte of it yet.
-func TestHeadWithoutBodyIsRepeated(t *testing.T) {
+// TestRetryAfterHeadWithoutBody guards against "the answer broke off" where the caller has no byte of it yet.
+func TestRetryAfterHeadWithoutBody(t *testing.T) {
 	head := func(status int32) *wire.RunEvent {
 		return &wire.RunEvent{Event: &wire.RunEvent_PlainHead{PlainHead: &wire.PlainHead{Status: status}}}
 	}
@@ -642,11 +642,11 @@
 	rows := []struct {
 		name   string
 		method string
-		// begun is what came of the first answer.
-		begun  []*wire.RunEvent
-		calls  int
-		whole  bool
-		status int32
+		// firstAnswer is what came of the first answer.
+		firstAnswer []*wire.RunEvent
+		calls       int
+		whole       bool
+		status      int32
 	}{
 		{"head", http.MethodGet, []*wire.RunEvent{head(200)}, 2, true, 201},
 		{"head, may not be repeated", http.MethodPost, []*wire.RunEvent{head(200)}, 1, false, 200},
@@ -654,23 +654,23 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			r, fake := runner(t, 2, func(n int, q *wire.RunRequest) []*wire.RunEvent {
-				events := row.begun
+			r, fake := newRunner(t, 2, func(n int, q *wire.RunRequest) []*wire.RunEvent {
+				events := row.firstAnswer
 				if n > 1 {
 					events = []*wire.RunEvent{head(201), body("whole"), finished(0)}
 				}
 				for _, e := range events {
-					event(q, e)
+					eventFor(q, e)
 				}
 				return events
 			})
 			job := promptJob()
 			job.Prompt, job.Plain = nil, &wire.PlainCall{Method: row.method, Path: "/"}
 			job.Service.Kind = config.ServicePlain
-			sink := &collect{}
+			sink := &recordingSink{}
 			_, err := r.Run(t.Context(), job, sink)
-			if (err == nil) != row.whole || fake.count() != row.calls || sink.status != row.status {
-				t.Errorf("%d calls, status %d, %v", fake.count(), sink.status, err)
+			if (err == nil) != row.whole || fake.callCount() != row.calls || sink.status != row.status {
+				t.Errorf("%d calls, status %d, %v", fake.callCount(), sink.status, err)
 			}
 			if row.whole && sink.body != "whole" {
 				t.Errorf("%q", sink.body)
@@ -693,37 +693,37 @@
 	}
 }
 
-// TestBudgetPaysOnlyForRetriesMade has a request fail where no other endpoint is left.
+// TestBudgetIsSpentOnlyOnRetriesMade has a request fail where no other endpoint is left.
 //
 // The budget is shared by all services: if it is spent before an endpoint is looked for, a
 // service whose only endpoint fails drains it without a retry, and callers of the others get
 // errors that a retry would have saved them from.
-func TestBudgetPaysOnlyForRetriesMade(t *testing.T) {
+func TestBudgetIsSpentOnlyOnRetriesMade(t *testing.T) {
 	broken := func(int, *wire.RunRequest) []*wire.RunEvent { return nil }
 	t.Run("no other endpoint for a retry", func(t *testing.T) {
-		r, _ := runner(t, 1, broken)
+		r, _ := newRunner(t, 1, broken)
 		r.Budget = NewRetryBudget(0, 1)
-		if _, err := r.Run(t.Context(), promptJob(), &collect{}); err == nil || err.Code != "stream_broke" {
-			t.Errorf("the caller is told %s; want stream_broke", told(err))
+		if _, err := r.Run(t.Context(), promptJob(), &recordingSink{}); err == nil || err.Code != "stream_broke" {
+			t.Errorf("the caller is told %s; want stream_broke", describe(err))
 		}
-		checkUnspent(t, r)
+		checkOneRetryLeft(t, r)
 	})
 	t.Run("no other endpoint for a second attempt", func(t *testing.T) {
-		r, in, first := lateRound(t, 1)
+		r, in, first := newRound(t, 1)
 		r.Budget = NewRetryBudget(0, 1)
-		if r.hedge(in, first) != nil {
+		if r.newHedge(in, first) != nil {
 			t.Error("a second attempt without an endpoint")
 		}
-		checkUnspent(t, r)
+		checkOneRetryLeft(t, r)
 	})
 	t.Run("the first attempt has brought something meanwhile", func(t *testing.T) {
-		r, in, first := lateRound(t, 2)
+		r, in, first := newRound(t, 2)
 		r.Budget = NewRetryBudget(0, 1)
 		in.p.claim(first)
-		if r.hedge(in, first) != nil {
+		if r.newHedge(in, first) != nil {
 			t.Error("a second attempt after the first token")
 		}
-		checkUnspent(t, r)
+		checkOneRetryLeft(t, r)
 	})
 }
 
@@ -733,19 +733,19 @@
 // busier with each such request, though it gets none, and is avoided in the end.
 func TestChoiceIsReleasedWithoutBudget(t *testing.T) {
 	t.Run("a retry", func(t *testing.T) {
-		r, fake := runner(t, 2, func(int, *wire.RunRequest) []*wire.RunEvent { return nil })
+		r, fake := newRunner(t, 2, func(int, *wire.RunRequest) []*wire.RunEvent { return nil })
 		r.Budget = NewRetryBudget(0, 0)
-		if _, err := r.Run(t.Context(), promptJob(), &collect{}); err == nil || fake.count() != 1 {
-			t.Errorf("the caller is told %s after %d runs; want an error after 1", told(err), fake.count())
+		if _, err := r.Run(t.Context(), promptJob(), &recordingSink{}); err == nil || fake.callCount() != 1 {
+			t.Errorf("the caller is told %s after %d runs; want an error after 1", describe(err), fake.callCount())
 		}
 		if work := r.Directory.OwnWork(); len(work) != 0 {
 			t.Errorf("counted as underway: %+v", work)
 		}
 	})
 	t.Run("a second attempt", func(t *testing.T) {
-		r, in, first := lateRound(t, 2)
+		r, in, first := newRound(t, 2)
 		r.Budget = NewRetryBudget(0, 0)
-		if r.hedge(in, first) != nil {
+		if r.newHedge(in, first) != nil {
 			t.Error("a second attempt without a budget")
 		}
 		r.Directory.Release(first.choice)
@@ -755,19 +755,19 @@
 	})
 }
 
-// lateRound is a round whose first attempt has brought nothing yet.
-func lateRound(t *testing.T, agents int) (*Runner, *round, *attempt) {
+// newRound is a round whose first attempt has brought nothing yet.
+func newRound(t *testing.T, agents int) (*Runner, *round, *attempt) {
 	t.Helper()
-	r, _ := runner(t, agents, nil)
+	r, _ := newRunner(t, agents, nil)
 	job, p := promptJob(), &progress{}
-	in := &round{job: job, request: r.routingRequest(job, nil), number: 1, p: p}
+	in := &round{job: job, request: r.newRoutingRequest(job, nil), number: 1, p: p}
 	in.request.Now = time.Now()
 	choice := r.Directory.Choose("s", nil, in.request)
-	return r, in, p.newAttempt(r, job, choice, 1, nil)
+	return r, in, p.startRound(r, job, choice, 1, nil)
 }
 
-// checkUnspent looks for the one retry that a budget held at first.
-func checkUnspent(t *testing.T, r *Runner) {
+// checkOneRetryLeft looks for the one retry that a budget held at first.
+func checkOneRetryLeft(t *testing.T, r *Runner) {
 	t.Helper()
 	if !r.Budget.Spend() {
 		t.Error("the budget was spent without a retry")
