--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -166,7 +166,7 @@
 		Domain: s.Platform.Domain, State: state, Watcher: watcher,
 		Directory: routing.NewDirectory(state.Table, state.Services, contextIndex, self.Incarnation),
 		Pool:      upstream.NewPool(endpointDialer.Dial), Dial: endpointDialer.Dial, RetryBudget: runs.NewRetryBudget(retryPart*b.RetryRatio, platformRetryBurst),
-		Codec: platform.Codec{}, Keeper: keeper, Log: log, Metrics: registry,
+		Codec: platform.Codec{}, ContextTracker: keeper, Log: log, Metrics: registry,
 		RequestLogLimiter: rate.NewLimiter(rate.Limit(*s.RequestLines), *s.RequestLines),
 	}
 	p.gateway.Guard = quarantine.NewGuard(quarantine.NewBook(), store, log, registry, bootclock.Now)
--- a/internal/coordination/gateway/attempt.go
+++ b/internal/coordination/gateway/attempt.go
@@ -29,14 +29,14 @@
 	broken
 	// timedOut: the request's time ended first.
 	timedOut
-	// callerGone: the caller left.
-	callerGone
-	// movedOn: the run was copied to another endpoint and stopped; it goes on there.
-	movedOn
+	// callerLeft: the caller left.
+	callerLeft
+	// relocated: the run was copied to another endpoint and stopped; it goes on there.
+	relocated
 	// stopped: this process was forced to stop; the request may have run.
 	stopped
-	// calledBack: the request crashes endpoints, and this one had not answered yet.
-	calledBack
+	// canceledByQuarantine: the request crashes endpoints, and this one had not answered yet.
+	canceledByQuarantine
 )
 
 // String gives the verdict's name for logs.
@@ -49,7 +49,7 @@
 	kind outcomeKind
 	// answer is a failure that the endpoint gave, to be passed on if no other
 	// attempt does better.
-	answer *buffered
+	answer *bufferedAnswer
 	err    error
 	// stale: a kept connection ended before anything came back. The endpoint may serve the
 	// request on a fresh one.
@@ -60,8 +60,8 @@
 	next *continuation
 }
 
-// buffered is a whole answer.
-type buffered struct {
+// bufferedAnswer is a whole answer.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -78,12 +78,12 @@
 	request := &upstream.Request{
 		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Header: header,
 		Body: x.body, HasBody: x.r.Header.Get("Content-Length") != "", Matches: x.matches,
-		FreshConnection: c.Member.ID == x.staleAt,
+		FreshConnection: c.Member.ID == x.staleEndpoint,
 	}
 	resp, err := x.g.Pool.Do(ctx, c.Member.Address, request)
-	x.connection = request.Trace
+	x.trace = request.Trace
 	if err != nil {
-		out := x.failure(ctx, err)
+		out := x.classifyError(ctx, err)
 		out.stale = out.kind == broken && request.Trace.Reused && !request.Trace.Answered && connectionEnded(err)
 		return nil, Reply{}, out
 	}
@@ -99,17 +99,17 @@
 	return id == x.call.ID || (id == "" && fresh)
 }
 
-// failure tells apart why an exchange brought no answer.
-func (x *exchange) failure(ctx context.Context, err error) outcome {
+// classifyError tells apart why an exchange brought no answer.
+func (x *exchange) classifyError(ctx context.Context, err error) outcome {
 	switch {
-	case x.callerLeft():
-		return outcome{kind: callerGone, err: err}
+	case x.hasCallerLeft():
+		return outcome{kind: callerLeft, err: err}
 	case errors.Is(err, upstream.ErrNotSent):
 		return outcome{kind: notReached, err: err}
-	case x.stopping():
+	case x.isForceStopped():
 		return outcome{kind: stopped, err: err}
 	case errors.Is(context.Cause(ctx), errBlamed):
-		return outcome{kind: calledBack, err: errBlamed}
+		return outcome{kind: canceledByQuarantine, err: errBlamed}
 	case errors.Is(context.Cause(ctx), errReplacedWeights):
 		return outcome{kind: broken, err: errReplacedWeights}
 	case ctx.Err() != nil:
@@ -174,11 +174,11 @@
 func (x *exchange) takeAnswer(ctx context.Context, resp *upstream.Response) outcome {
 	body, err := io.ReadAll(io.LimitReader(resp, maxBuffered))
 	if err != nil {
-		return x.failure(ctx, err)
+		return x.classifyError(ctx, err)
 	}
-	answer := &buffered{status: resp.Status, header: resp.Header, body: body}
+	answer := &bufferedAnswer{status: resp.Status, header: resp.Header, body: body}
 	switch {
-	case x.wrote || !x.mayPassStatus(resp.Status):
+	case x.headWritten || !x.mayPassStatus(resp.Status):
 		return outcome{kind: answeredFailure, answer: answer}
 	case len(body) == maxBuffered:
 		return x.passOn(ctx, answer, resp)
@@ -190,19 +190,19 @@
 }
 
 // passOn delivers an answer that is too long to be kept.
-func (x *exchange) passOn(ctx context.Context, a *buffered, rest *upstream.Response) outcome {
+func (x *exchange) passOn(ctx context.Context, a *bufferedAnswer, rest *upstream.Response) outcome {
 	x.writeHead(a.status, a.header, rest.Length)
 	x.stream.unresumable = true
 	if _, err := x.w.Write(a.body); err != nil {
-		return outcome{kind: callerGone, err: err}
+		return outcome{kind: callerLeft, err: err}
 	}
 	caller := &callerWriter{Writer: x.w}
 	_, err := io.Copy(caller, rest)
 	switch {
 	case caller.err != nil:
-		return outcome{kind: callerGone, err: caller.err}
+		return outcome{kind: callerLeft, err: caller.err}
 	case err != nil:
-		return x.failure(ctx, err)
+		return x.classifyError(ctx, err)
 	}
 	return outcome{kind: delivered}
 }
@@ -230,7 +230,7 @@
 	return true
 }
 
-func (x *exchange) deliver(a *buffered) {
+func (x *exchange) deliver(a *bufferedAnswer) {
 	x.writeHead(a.status, a.header, int64(len(a.body)))
 	// A caller that has left is seen by the request's context.
 	x.w.Write(a.body)
@@ -249,7 +249,7 @@
 	if length >= 0 && x.r.Method != http.MethodHead {
 		out.Set("Content-Length", itoa(length))
 	}
-	x.wrote, x.status = true, status
+	x.headWritten, x.status = true, status
 	x.w.WriteHeader(status)
 }
 
--- a/internal/coordination/gateway/config_test.go
+++ b/internal/coordination/gateway/config_test.go
@@ -130,7 +130,7 @@
 		{"customer beyond all routes", 0, &routes.Customer{HasPriority: true, Priority: 9}, true},
 	} {
 		x := &exchange{table: table, route: &list[row.route], service: &services[0], customer: row.customer, deadline: time.Now().Add(time.Minute)}
-		refused := x.overload(routing.Choice{Wait: 500 * time.Millisecond, TTFT: 600 * time.Millisecond}, 0)
+		refused := x.refuseOverload(routing.Choice{Wait: 500 * time.Millisecond, TTFT: 600 * time.Millisecond}, 0)
 		if (refused != nil) != row.refused {
 			t.Errorf("%s: %v", row.name, refused)
 		}
--- a/internal/coordination/gateway/crash.go
+++ b/internal/coordination/gateway/crash.go
@@ -97,7 +97,7 @@
 		// One that leaves ends by itself, and cuts what it still runs.
 		return nil
 	}
-	run := brokenRun{quarantine.Run{Key: x.fingerprint(), About: x.about(), Sent: sent, Output: x.firstEvent}, x.call.ID}
+	run := brokenRun{quarantine.Run{Key: x.fingerprint(), About: x.about(), Sent: sent, Output: x.firstEventAt}, x.call.ID}
 	p, first, late := x.g.crashProbes.join(c.Member.Incarnation, run)
 	switch {
 	case first:
@@ -304,11 +304,11 @@
 
 // fingerprint names the request; it is computed only where something is to be found out.
 func (x *exchange) fingerprint() fingerprint.Key {
-	if x.key == nil {
+	if x.cachedFingerprint == nil {
 		key := fingerprint.Of(x.identity(), x.body)
-		x.key = &key
+		x.cachedFingerprint = &key
 	}
-	return *x.key
+	return *x.cachedFingerprint
 }
 
 // identity is what makes the request the same as another, beside the body.
--- a/internal/coordination/gateway/ending.go
+++ b/internal/coordination/gateway/ending.go
@@ -38,7 +38,7 @@
 type ending struct {
 	how endingKind
 	// answer of endKept.
-	answer *buffered
+	answer *bufferedAnswer
 	// refusal of endRefused, nil else.
 	refusal *apierror.Error
 }
@@ -48,7 +48,7 @@
 // noEndpoint is the ending when none can be chosen.
 func (x *exchange) noEndpoint(why routing.Refusal, sent int, last outcome) ending {
 	if sent > 0 {
-		return x.final(last, sent)
+		return x.finalEnding(last, sent)
 	}
 	message := "no endpoint of the service is known"
 	if why == routing.RefusalAllFull {
@@ -67,18 +67,18 @@
 	return fullPause + time.Duration(rand.Int64N(int64(fullJitter)))
 }
 
-// final is the ending when nothing more is tried. Only what is proved not to have
+// finalEnding is the ending when nothing more is tried. Only what is proved not to have
 // run is told so; all else is unknown.
-func (x *exchange) final(last outcome, sent int) ending {
-	if x.callerLeft() {
+func (x *exchange) finalEnding(last outcome, sent int) ending {
+	if x.hasCallerLeft() {
 		return ending{how: endCallerLeft}
 	}
 	// First of all what an endpoint has said: it is ready and tells more than any error of the
 	// gateway's own, also than that the time is up.
-	if x.failed != nil && !x.wrote {
-		return ending{how: endKept, answer: x.failed}
+	if x.lastFailure != nil && !x.headWritten {
+		return ending{how: endKept, answer: x.lastFailure}
 	}
-	if x.stopping() {
+	if x.isForceStopped() {
 		return x.cutShort()
 	}
 	switch last.kind {
@@ -89,7 +89,7 @@
 		}
 	case timedOut:
 		return unknownOutcome(http.StatusGatewayTimeout, apierror.CodeTimeout, "the request's time is up")
-	case calledBack:
+	case canceledByQuarantine:
 		return unknownOutcome(http.StatusBadGateway, apierror.CodeOutcomeUnknown, "the run was called back: "+errBlamed.Error())
 	}
 	return unknownOutcome(http.StatusBadGateway, apierror.CodeOutcomeUnknown, "the endpoint's answer was lost")
--- a/internal/coordination/gateway/ending_test.go
+++ b/internal/coordination/gateway/ending_test.go
@@ -332,8 +332,8 @@
 	s := newTestServer(t, singleRoute(routes.Idempotent, 2))
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
-	x := &exchange{g: s.gateway, r: s.newRequest("GET", "/r/x", "").WithContext(ctx), failed: &buffered{status: 500}}
-	if end := x.final(outcome{kind: answeredFailure}, 1); end.how != endCallerLeft {
+	x := &exchange{g: s.gateway, r: s.newRequest("GET", "/r/x", "").WithContext(ctx), lastFailure: &bufferedAnswer{status: 500}}
+	if end := x.finalEnding(outcome{kind: answeredFailure}, 1); end.how != endCallerLeft {
 		t.Errorf("the exchange ends as %d, want %d", end.how, endCallerLeft)
 	}
 }
@@ -359,7 +359,7 @@
 		s := newTestServer(t, singleRoute(routes.Idempotent, 2), respond(200, strings.Repeat("b", 2*maxBuffered)))
 		x := &exchange{
 			g: s.gateway, w: &deafWriter{httptest.NewRecorder(), left}, r: httptest.NewRequest("GET", "/r/x", nil),
-			began: time.Now(), deadline: time.Now().Add(time.Minute),
+			startedAt: time.Now(), deadline: time.Now().Add(time.Minute),
 		}
 		x.r.Host = "h"
 		x.r.Header.Set(headerID, "id-1")
@@ -367,7 +367,7 @@
 		if refusal := x.prepare(); refusal != nil {
 			t.Fatal(refusal)
 		}
-		if end := x.serve(); end.how != endCallerLeft || x.tries[0].Outcome != callerGone.String() {
+		if end := x.serve(); end.how != endCallerLeft || x.tries[0].Outcome != callerLeft.String() {
 			t.Errorf("%d writes: ending %d, attempt %s", left, end.how, x.tries[0].Outcome)
 		}
 	}
@@ -422,7 +422,7 @@
 func TestEndsOfOthersSayNothing(t *testing.T) {
 	fails := outcome{kind: broken}
 	ends := []outcome{
-		{kind: callerGone}, {kind: stopped}, {kind: calledBack}, {kind: movedOn},
+		{kind: callerLeft}, {kind: stopped}, {kind: canceledByQuarantine}, {kind: relocated},
 		{kind: broken, stopOrdered: true}, {kind: timedOut, stopOrdered: true},
 	}
 	for _, end := range ends {
@@ -442,7 +442,7 @@
 	request := x.routingRequest()
 	request.Exclude = []string{"i-1"}
 	for _, end := range ends {
-		x.book(x.choose(request, promptContext{}, outcome{}), Attempt{}, end, time.Now())
+		x.recordAttempt(x.choose(request, promptContext{}, outcome{}), Attempt{}, end, time.Now())
 	}
 	request.Exclude = nil
 	for range 20 {
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -54,8 +54,8 @@
 	// be the newest: one that has been taken away meanwhile must not be served for longer.
 	// 0 sets no limit.
 	KeysValidFor time.Duration
-	// Keeper plans imports and saves of context; nil does neither.
-	Keeper *contextcache.Keeper
+	// ContextTracker plans imports and saves of context; nil does neither.
+	ContextTracker *contextcache.Keeper
 	// WeightQueries holds the engines that RunWeightQueries asks by AskWeights, see doubt; nil asks none.
 	WeightQueries *ring.Ring[string]
 	QueryWeights  QueryWeightsFunc
@@ -71,33 +71,33 @@
 
 	// weights holds the newest version of each model that an endpoint serves.
 	weights atomic.Pointer[map[string]int64]
-	// sizes of each route's prompts.
-	sizes sizes
-	// engines maps addresses to the hashes of the instances there.
-	engines     atomic.Pointer[map[string]uint64]
-	crashProbes crashProbes
-	waitingRuns waitingRuns
-	stopping    atomic.Bool
-	drain       atomic.Pointer[drain]
-	inflight    atomic.Int64
+	// promptSizes of each route's prompts.
+	promptSizes sizes
+	// engineHashes maps addresses to the hashes of the instances there.
+	engineHashes atomic.Pointer[map[string]uint64]
+	crashProbes  crashProbes
+	waitingRuns  waitingRuns
+	notReady     atomic.Bool
+	drain        atomic.Pointer[drain]
+	inFlight     atomic.Int64
 }
 
 // drain is the end of a stop.
 type drain struct{ lateFrom, end time.Time }
 
 // MarkNotReady makes the gateway say that it is not ready; requests are served on.
-func (g *Gateway) MarkNotReady() { g.stopping.Store(true) }
+func (g *Gateway) MarkNotReady() { g.notReady.Store(true) }
 
 // SetDrainWindow tells that the process ends at end. A request that begins after lateFrom is served only if
 // its own time ends before, and else refused: cut at the end, it may have run.
 func (g *Gateway) SetDrainWindow(lateFrom, end time.Time) { g.drain.Store(&drain{lateFrom, end}) }
 
 // InFlight counts the requests underway.
-func (g *Gateway) InFlight() int64 { return g.inflight.Load() }
+func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
 // ServeReady answers the balancer's probe.
 func (g *Gateway) ServeReady(w http.ResponseWriter, _ *http.Request) {
-	if g.stopping.Load() || !g.State.Ready() || g.keysOutdated() {
+	if g.notReady.Load() || !g.State.Ready() || g.keysOutdated() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
 	}
@@ -114,45 +114,45 @@
 	route   *routes.Route
 	service *routes.Service
 	// customer is nil on public routes.
-	customer *routes.Customer
-	body     []byte
-	began    time.Time
-	deadline time.Time
+	customer  *routes.Customer
+	body      []byte
+	startedAt time.Time
+	deadline  time.Time
 
-	// key is the request's fingerprint, nil until it is needed.
-	key *fingerprint.Key
+	// cachedFingerprint is the request's fingerprint, nil until it is needed.
+	cachedFingerprint *fingerprint.Key
 	// onTrial tells that the request is in quarantine and has this one run.
 	onTrial bool
 	// tries are the attempts made, for the log.
 	tries []try
-	// begun tells that the present attempt's stream has begun.
-	begun func()
-	// firstEvent of the present attempt came then.
-	firstEvent time.Time
+	// onStreamBegun tells that the present attempt's stream has onStreamBegun.
+	onStreamBegun func()
+	// firstEventAt of the present attempt came then.
+	firstEventAt time.Time
 	// storedTokens of the last attempt's context that stores held, for the log.
 	storedTokens int
-	// connection tells how far the present attempt got on its connection.
-	connection upstream.Trace
-	// staleAt is the endpoint whose kept connection has ended under the request.
-	staleAt string
-	// failed is the last failure that an endpoint itself gave and that may be passed on.
-	failed *buffered
+	// trace tells how far the present attempt got on its trace.
+	trace upstream.Trace
+	// staleEndpoint is the endpoint whose kept connection has ended under the request.
+	staleEndpoint string
+	// lastFailure is the last failure that an endpoint itself gave and that may be passed on.
+	lastFailure *bufferedAnswer
 	// stream is what the caller has of a stream.
 	stream streamState
 	// relocation watches over the present attempt's run.
 	relocation *relocation
 	// bodyLate tells that the body had not come when the request's time was up.
 	bodyLate bool
-	// wrote tells that the answer's head has been written, status is the one it bears.
-	wrote  bool
-	status int
+	// headWritten tells that the answer's head has been written, status is the one it bears.
+	headWritten bool
+	status      int
 }
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.inflight.Add(1)
-	defer g.inflight.Add(-1)
-	x := &exchange{g: g, w: w, r: r, began: time.Now()}
+	g.inFlight.Add(1)
+	defer g.inFlight.Add(-1)
+	x := &exchange{g: g, w: w, r: r, startedAt: time.Now()}
 	if refusal := x.prepare(); refusal != nil {
 		x.end(refuseWith(refusal))
 		return
@@ -178,11 +178,11 @@
 	got := x.received(e)
 	x.log(e.refusal, got)
 	x.g.count("requests." + x.kind() + "." + outcome)
-	metrics.GetOrRegisterTimer("gateway.request."+x.kind(), x.g.Metrics).UpdateSince(x.began)
+	metrics.GetOrRegisterTimer("gateway.request."+x.kind(), x.g.Metrics).UpdateSince(x.startedAt)
 	if got == receipt.Answer || got == receipt.Refusal {
 		return
 	}
-	if e.how == endRefused && x.wrote {
+	if e.how == endRefused && x.headWritten {
 		x.g.count("answers_cut")
 	}
 	panic(http.ErrAbortHandler)
@@ -200,21 +200,21 @@
 	return x.route.Kind.String()
 }
 
-// stopping tells whether a forced stop of this process has ended the request's context. Its
+// isForceStopped tells whether a forced stop of this process has ended the request's context. Its
 // caller is still there then, and has a last answer to get unless one has begun. The first cause
 // of a context stands: a caller that had left before stays one that left.
-func (x *exchange) stopping() bool {
+func (x *exchange) isForceStopped() bool {
 	return errors.Is(context.Cause(x.r.Context()), runs.ErrStopping)
 }
 
-// callerLeft tells whether the caller is gone. net/http ends the request's context also when a
+// hasCallerLeft tells whether the caller is gone. net/http ends the request's context also when a
 // read of the body times out; that caller is still there.
-func (x *exchange) callerLeft() bool {
-	return x.r.Context().Err() != nil && !x.stopping() && !x.bodyLate
+func (x *exchange) hasCallerLeft() bool {
+	return x.r.Context().Err() != nil && !x.isForceStopped() && !x.bodyLate
 }
 
 func (x *exchange) refuse(e *apierror.Error) {
-	if x.wrote || x.callerLeft() {
+	if x.headWritten || x.hasCallerLeft() {
 		return
 	}
 	x.g.Codec.EncodeID(x.w.Header(), x.call.ID)
@@ -314,10 +314,10 @@
 	if x.call.Deadline > 0 {
 		limit = min(limit, x.call.Deadline)
 	}
-	x.deadline = x.began.Add(limit)
+	x.deadline = x.startedAt.Add(limit)
 }
 
-func (x *exchange) left() time.Duration { return time.Until(x.deadline) }
+func (x *exchange) timeLeft() time.Duration { return time.Until(x.deadline) }
 
 // readBody reads the body whole: it may be sent a second time, and an endpoint
 // that answers early must not leave the rest of it on a connection.
@@ -339,7 +339,7 @@
 	// rest of the body, and would wait for it.
 	defer context.AfterFunc(x.r.Context(), func() { control.SetReadDeadline(time.Unix(1, 0)) })()
 	err := x.readWhole()
-	if x.stopping() {
+	if x.isForceStopped() {
 		return x.cutShort().refusal
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -375,7 +375,7 @@
 // isTooLate tells whether the process may end before the request does, which came when that was known.
 func (x *exchange) isTooLate() bool {
 	d := x.g.drain.Load()
-	return d != nil && x.began.After(d.lateFrom) && x.deadline.After(d.end)
+	return d != nil && x.startedAt.After(d.lateFrom) && x.deadline.After(d.end)
 }
 
 // serve carries out the request until its deadline or the caller's end.
@@ -383,7 +383,7 @@
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.deadline)
 	defer cancel()
 	x.g.RetryBudget.Earn()
-	if x.stopping() {
+	if x.isForceStopped() {
 		// Nothing may be sent any more: a connection to an endpoint closes too late to prevent it.
 		return x.cutShort()
 	}
--- a/internal/coordination/gateway/prompt.go
+++ b/internal/coordination/gateway/prompt.go
@@ -65,16 +65,16 @@
 // know tells a decision what stores and engines hold of a prompt.
 func (x *exchange) know(r *routing.Request, p promptContext) {
 	weights := discovery.VersionName(x.g.weightsOf(x.call.Model))
-	if len(p.parts) == 0 || x.g.Keeper == nil || weights == "" {
+	if len(p.parts) == 0 || x.g.ContextTracker == nil || weights == "" {
 		return
 	}
 	salt := contextcache.Salt(p.wall, x.call.Model, weights)
-	contents := x.g.Keeper.Contents(salt, p.parts)
+	contents := x.g.ContextTracker.Contents(salt, p.parts)
 	r.Segments, r.HoldingsKnown = contents.Imports, contents.Informed
 	if !r.HoldingsKnown {
 		return
 	}
-	members := *x.g.engines.Load()
+	members := *x.g.engineHashes.Load()
 	r.Holdings = r.Holdings[:0]
 	for _, e := range contents.Resident {
 		if hash, ok := members[e.Address]; ok {
@@ -87,11 +87,11 @@
 // version of weights nothing is shared: what an engine keeps may be of any.
 func (x *exchange) place(s *Attempt, p promptContext, c routing.Choice) {
 	weights, err := strconv.ParseInt(c.Member.Endpoint.WeightVersion, 10, 64)
-	if err != nil || x.g.Keeper == nil {
+	if err != nil || x.g.ContextTracker == nil {
 		return
 	}
 	s.Weights, s.CacheSalt = weights, contextcache.Salt(p.wall, x.call.Model, c.Member.Endpoint.WeightVersion)
-	plan := x.g.Keeper.Plan(s.CacheSalt, strconv.FormatUint(p.root, 36), p.parts, c.Member.Address, x.route.Objective)
+	plan := x.g.ContextTracker.Plan(s.CacheSalt, strconv.FormatUint(p.root, 36), p.parts, c.Member.Address, x.route.Objective)
 	s.ImportFrom, s.ExportTo = x.forAllParts(plan.From), x.forAllParts(plan.To)
 	if strings.Join(plan.From, "") != "" {
 		s.ImportUntil = plan.Until
--- a/internal/coordination/gateway/reconfigure_test.go
+++ b/internal/coordination/gateway/reconfigure_test.go
@@ -43,7 +43,7 @@
 	}
 	table := routes.New(w.revision, w.revision, list, services, customers, routes.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20})
 	w.site.gateway.State.SetRoutes(table)
-	w.site.gateway.Keeper.SetStores(table.Services)
+	w.site.gateway.ContextTracker.SetStores(table.Services)
 }
 
 // instance has an endpoint listed, leaving, of another service, restarted or gone.
@@ -122,7 +122,7 @@
 	for _, row := range rows {
 		t.Run(row.kind.String(), func(t *testing.T) {
 			s := newTestServer(t, singleRoute(row.kind, 3), row.plays...)
-			s.gateway.Keeper, s.gateway.Copier = newKeeper(), &turnCopier{}
+			s.gateway.ContextTracker, s.gateway.Copier = newKeeper(), &turnCopier{}
 			guard := s.guarded()
 			done := make(chan struct{})
 			var swaps, callers sync.WaitGroup
--- a/internal/coordination/gateway/relocate.go
+++ b/internal/coordination/gateway/relocate.go
@@ -176,7 +176,7 @@
 	target := x.g.Directory.Choose(x.service.Name, nil, &routing.Request{
 		// The run's memory comes with it: no prompt is read there.
 		HeldTokens: held, MeanHeldTokens: held, HoldingsKnown: true, SegmentsKnown: true, PlacementHashKnown: true,
-		Domain: x.g.Domain, CrossDomainPenalty: otherDomainPrice, Urgency: x.urgency(), Objective: config.Objective{WeightTTFT: 1},
+		Domain: x.g.Domain, CrossDomainPenalty: crossDomainPenalty, Urgency: x.urgency(), Objective: config.Objective{WeightTTFT: 1},
 		WeightVersion: c.Member.Endpoint.WeightVersion, Now: time.Now(),
 		// One whose turn to load comes soon would have to pass the run on, or refuse it.
 		Exclude: append(x.g.State.LoadNext(c.Member.ID), c.Member.ID),
--- a/internal/coordination/gateway/relocate_test.go
+++ b/internal/coordination/gateway/relocate_test.go
@@ -189,7 +189,7 @@
 	for i, e := range s.endpoints {
 		state.SetInstance(discovery.Instance{ID: e.id, Revision: uint64(20 + i), Service: "s", Address: e.address, Domain: "a", Slots: 4, Model: "m", Weights: 1})
 	}
-	s.gateway.Copier, s.gateway.Keeper = copier, newKeeper()
+	s.gateway.Copier, s.gateway.ContextTracker = copier, newKeeper()
 	// Streams begin at the first engine.
 	state.SetLoading("i-1", true)
 }
--- a/internal/coordination/gateway/requestlog.go
+++ b/internal/coordination/gateway/requestlog.go
@@ -47,7 +47,7 @@
 	switch {
 	case e.how == endAnswered || e.how == endKept:
 		return receipt.Answer
-	case x.wrote:
+	case x.headWritten:
 		return receipt.Part
 	case x.status != 0:
 		return receipt.Refusal
@@ -62,16 +62,16 @@
 		return
 	}
 	fields := []zap.Field{
-		zap.String("request_id", x.call.ID), zap.String("path", x.r.URL.Path), zap.Duration("took", time.Since(x.began)), zap.Any("attempts", x.tries),
+		zap.String("request_id", x.call.ID), zap.String("path", x.r.URL.Path), zap.Duration("took", time.Since(x.startedAt)), zap.Any("attempts", x.tries),
 	}
 	if !x.deadline.IsZero() {
-		fields = append(fields, zap.Duration("time_given", x.deadline.Sub(x.began)))
+		fields = append(fields, zap.Duration("time_given", x.deadline.Sub(x.startedAt)))
 	}
 	fields = append(fields, zap.String("caller_got", string(got)))
 	if got != receipt.Nothing {
 		fields = append(fields, zap.Int("caller_status", x.status))
 	}
-	if x.callerLeft() {
+	if x.hasCallerLeft() {
 		fields = append(fields, zap.String("caller_left_by", ingress.CallerEnd(x.r.Context())))
 	}
 	if x.call.PromptTokens > 0 {
@@ -86,8 +86,8 @@
 	if x.customer != nil {
 		fields = append(fields, zap.String("customer", x.customer.Name))
 	}
-	if x.key != nil {
-		fields = append(fields, zap.Stringer("fingerprint", *x.key))
+	if x.cachedFingerprint != nil {
+		fields = append(fields, zap.Stringer("fingerprint", *x.cachedFingerprint))
 	}
 	if refusal != nil {
 		fields = append(fields, zap.Int("status", refusal.Status), zap.String("code", refusal.Code),
--- a/internal/coordination/gateway/run.go
+++ b/internal/coordination/gateway/run.go
@@ -23,11 +23,11 @@
 	maxUnreached = 3
 	// minLeft of a request's time is worth another attempt.
 	minLeft = 20 * time.Millisecond
-	// assumedPrefillRate is a model server's reading speed before any was measured,
+	// defaultPrefillRate is a model server's reading speed before any was measured,
 	// in tokens per second.
-	assumedPrefillRate = 40_000
-	// assumedLinkRate is a store's, in tokens per second: the slower of today's stores.
-	assumedLinkRate = 190_000
+	defaultPrefillRate = 40_000
+	// defaultLinkRate is a store's, in tokens per second: the slower of today's stores.
+	defaultLinkRate = 190_000
 )
 
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
@@ -63,14 +63,14 @@
 		if choice.Member.ID == "" {
 			return x.noEndpoint(choice.Refusal, sent, last)
 		}
-		if refusal := x.overload(choice, sent); refusal != nil {
+		if refusal := x.refuseOverload(choice, sent); refusal != nil {
 			x.g.Directory.Release(choice)
 			return refuseWith(refusal)
 		}
 		if last.costsRetry() && !x.g.RetryBudget.Spend() {
 			x.g.count("retry_budget_used_up")
 			x.g.Directory.Release(choice)
-			return x.final(last, sent)
+			return x.finalEnding(last, sent)
 		}
 		started := time.Now()
 		send := x.sendFor(choice, prompt)
@@ -82,11 +82,11 @@
 		} else {
 			last = x.plainAttempt(ctx, choice, send)
 		}
-		if last.kind == callerGone && x.stopping() {
+		if last.kind == callerLeft && x.isForceStopped() {
 			// A forced stop, too, ends the context and makes writes fail; its caller has not left.
 			last.kind = stopped
 		}
-		x.book(choice, send, last, started)
+		x.recordAttempt(choice, send, last, started)
 		probe := x.probeCrash(choice, last, started)
 		if last.kind != notReached {
 			sent++
@@ -97,19 +97,19 @@
 		switch last.kind {
 		case delivered:
 			return ending{how: endAnswered}
-		case callerGone:
+		case callerLeft:
 			return ending{how: endCallerLeft}
-		case movedOn:
+		case relocated:
 			continue
 		}
 		if !x.canRetry(ctx, last, sent, unreached) || x.hasCrashedTooMany(ctx, probe) {
-			return x.final(last, sent)
+			return x.finalEnding(last, sent)
 		}
 		switch {
 		case last.stale && !probe.hasCrashed():
-			x.staleAt = choice.Member.ID
-		case x.staleAt == choice.Member.ID:
-			x.staleAt = ""
+			x.staleEndpoint = choice.Member.ID
+		case x.staleEndpoint == choice.Member.ID:
+			x.staleEndpoint = ""
 		}
 		request.Exclude = append(request.Exclude, choice.Member.ID)
 	}
@@ -123,11 +123,11 @@
 	}
 	request.Now = time.Now()
 	choice := x.g.Directory.Choose(x.service.Name, prompt.keys, request)
-	if choice.Member.ID != "" || x.staleAt == "" {
+	if choice.Member.ID != "" || x.staleEndpoint == "" {
 		return choice
 	}
 	// No other is left, and this one may serve the request on a fresh connection.
-	request.Exclude = slices.DeleteFunc(request.Exclude, func(id string) bool { return id == x.staleAt })
+	request.Exclude = slices.DeleteFunc(request.Exclude, func(id string) bool { return id == x.staleEndpoint })
 	return x.g.Directory.Choose(x.service.Name, prompt.keys, request)
 }
 
@@ -136,14 +136,14 @@
 	s.ContinueFrom, s.ImportFrom, s.ExportTo, s.ImportUntil = copied, nil, nil, 0
 }
 
-// overload refuses a prompt that would be answered too late to be of use, before it
+// refuseOverload refuses a prompt that would be answered too late to be of use, before it
 // takes anything of an engine.
-func (x *exchange) overload(c routing.Choice, sent int) *apierror.Error {
+func (x *exchange) refuseOverload(c routing.Choice, sent int) *apierror.Error {
 	if x.service.Engine == nil || sent > 0 {
 		return nil
 	}
 	ok, after := admission.Accept(admission.Prospect{
-		Wait: c.Wait, First: c.TTFT, Objective: x.route.Objective, Left: x.left(), Rank: x.table.PriorityRank(x.priority(), x.service.Name),
+		Wait: c.Wait, First: c.TTFT, Objective: x.route.Objective, Left: x.timeLeft(), Rank: x.table.PriorityRank(x.priority(), x.service.Name),
 	})
 	if ok {
 		return nil
@@ -168,11 +168,11 @@
 
 // canRetry decides whether another endpoint is asked.
 func (x *exchange) canRetry(ctx context.Context, last outcome, sent, unreached int) bool {
-	if ctx.Err() != nil || x.left() < minLeft {
+	if ctx.Err() != nil || x.timeLeft() < minLeft {
 		return false
 	}
 	resumable := x.resumable()
-	if x.wrote && !resumable {
+	if x.headWritten && !resumable {
 		// The caller has a part already: another answer would be joined to it. A run that
 		// was moved and is rejected where it should go on has run as well.
 		return false
@@ -198,8 +198,8 @@
 	return x.route.Kind == routes.Streaming && x.route.Resumable && !x.stream.unresumable
 }
 
-// book tells the directory how an attempt ended, and keeps it for the log.
-func (x *exchange) book(c routing.Choice, sent Attempt, o outcome, started time.Time) {
+// recordAttempt tells the directory how an attempt ended, and keeps it for the log.
+func (x *exchange) recordAttempt(c routing.Choice, sent Attempt, o outcome, started time.Time) {
 	now := time.Now()
 	t := try{
 		Endpoint: c.Member.ID, Reason: string(c.Reason), Outcome: o.kind.String(), TookMS: now.Sub(started).Milliseconds(),
@@ -208,14 +208,14 @@
 		Running: c.LoadSnapshot.Running, Queued: c.LoadSnapshot.Queued, Sent: c.LoadSnapshot.Sent, Own: c.LoadSnapshot.Own,
 		LoadAgeMS: c.LoadSnapshot.LoadAge.Milliseconds(), PeerRunning: c.LoadSnapshot.PeerRunning, PeerUnread: c.LoadSnapshot.PeerUnread,
 	}
-	t.Reused, t.Answered = x.connection.Reused, x.connection.Answered
-	if x.firstEvent.After(started) {
-		t.FirstMS = x.firstEvent.Sub(started).Milliseconds()
+	t.Reused, t.Answered = x.trace.Reused, x.trace.Answered
+	if x.firstEventAt.After(started) {
+		t.FirstMS = x.firstEventAt.Sub(started).Milliseconds()
 	}
 	if o.answer != nil {
 		t.Status = o.answer.status
 		if x.mayPassStatus(o.answer.status) {
-			x.failed = o.answer
+			x.lastFailure = o.answer
 		}
 	}
 	if o.err != nil {
@@ -243,7 +243,7 @@
 		g.Directory.DoneRefused(c, now)
 	case broken, answeredFailure, timedOut:
 		g.Directory.Done(c, true, now)
-	case movedOn, callerGone, stopped, calledBack:
+	case relocated, callerLeft, stopped, canceledByQuarantine:
 		g.Directory.Release(c)
 	case delivered:
 		g.Directory.Done(c, false, now)
@@ -254,11 +254,11 @@
 func (x *exchange) routingRequest() *routing.Request {
 	held, usual := x.call.PromptTokens+x.call.OutputTokens, 0
 	if held > 0 {
-		usual = x.g.sizes.take(x.route.Name, held)
+		usual = x.g.promptSizes.take(x.route.Name, held)
 	}
 	return &routing.Request{
 		PromptTokens: x.call.PromptTokens, Domain: x.g.Domain, HeldTokens: held, MeanHeldTokens: usual,
-		SegmentsKnown: true, Urgency: x.urgency(), CrossDomainPenalty: otherDomainPrice,
+		SegmentsKnown: true, Urgency: x.urgency(), CrossDomainPenalty: crossDomainPenalty,
 		Objective: config.Objective{
 			TTFTMS: int(x.route.Objective.Milliseconds()), WeightTTFT: 1, WeightRecompute: recomputeWeight, WeightLink: linkWeight,
 		},
@@ -269,12 +269,12 @@
 // the engine's time for them is 20 ms, and all that wait behind them feel it.
 const recomputeWeight = 0.2
 
-// otherDomainPrice keeps requests in their failure domain unless waiting is shorter
+// crossDomainPenalty keeps requests in their failure domain unless waiting is shorter
 // elsewhere by so many seconds: bytes between domains are dear, and a link more may
 // fail. At 0.02 a tenth less crosses than without (31 to 28 MB in 50 s at 70 requests
 // a second, three domains) and no more requests are late; at 0.04 more are where
 // engines are full.
-const otherDomainPrice = 0.02
+const crossDomainPenalty = 0.02
 
 // linkWeight weighs a thousand tokens imported in the same way: the link's time for
 // them is 5 ms.
@@ -289,7 +289,7 @@
 
 // sendFor says what an attempt at a chosen endpoint carries.
 func (x *exchange) sendFor(c routing.Choice, p promptContext) Attempt {
-	s := Attempt{Instance: c.Member.ID, TimeLeft: x.left(), Urgency: x.urgency(), LastEvent: x.call.LastEvent}
+	s := Attempt{Instance: c.Member.ID, TimeLeft: x.timeLeft(), Urgency: x.urgency(), LastEvent: x.call.LastEvent}
 	if x.customer != nil {
 		s.Customer = x.customer.Name
 	}
--- a/internal/coordination/gateway/stream.go
+++ b/internal/coordination/gateway/stream.go
@@ -37,12 +37,12 @@
 // as they come, each whole and once. After a broken attempt the next goes on
 // behind the last event passed on.
 func (x *exchange) streamAttempt(ctx context.Context, c routing.Choice, s Attempt) outcome {
-	x.firstEvent = time.Time{}
+	x.firstEventAt = time.Time{}
 	if x.stream.last != "" {
 		s.LastEvent = x.stream.last
 	}
 	request := ctx
-	ctx, stop := x.beginInTime(request, c)
+	ctx, stop := x.withBeginDeadline(request, c)
 	defer stop()
 	resp, reply, out := x.send(ctx, c, s)
 	if resp == nil {
@@ -55,7 +55,7 @@
 	if resp.Status != http.StatusOK || isDocument(resp.Header) {
 		return x.takeAnswer(ctx, resp)
 	}
-	x.g.Directory.RecordSent(c, x.began)
+	x.g.Directory.RecordSent(c, x.startedAt)
 	x.relocation = x.watchRelocation(ctx, stop, c, s)
 	out = x.relay(ctx, c, resp)
 	next, moved := x.relocation.outcome()
@@ -64,11 +64,11 @@
 		return x.relocation.judge(out, resp)
 	case request.Err() != nil:
 		x.abandon(next)
-		out = x.failure(request, request.Err())
+		out = x.classifyError(request, request.Err())
 		out.stopOrdered = true
 		return out
 	}
-	return outcome{kind: movedOn, next: next}
+	return outcome{kind: relocated, next: next}
 }
 
 // isDocument tells a whole answer from a stream. Other types don't tell: a server that names none has one guessed.
@@ -81,22 +81,22 @@
 // may not be used any more.
 const errReplacedWeights = errors.ConstError("the endpoint's weights were replaced before it began")
 
-// beginInTime ends an attempt that has not begun when its request turns out to crash endpoints, and one at replaced
+// withBeginDeadline ends an attempt that has not begun when its request turns out to crash endpoints, and one at replaced
 // weights that does not begin before their time is up. Endpoints that load others are the fullest: a request may wait in one
 // for seconds longer than was foreseen, and its answer would be worth nothing.
-func (x *exchange) beginInTime(ctx context.Context, c routing.Choice) (context.Context, func()) {
+func (x *exchange) withBeginDeadline(ctx context.Context, c routing.Choice) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	unwatch := x.callBackWhenBlamed(cancel)
-	x.begun = unwatch
+	x.onStreamBegun = unwatch
 	if left, limited := x.g.State.BeginLeft(c.Member.ID); limited {
 		timer := time.AfterFunc(max(0, left), func() { cancel(errReplacedWeights) })
-		x.begun = func() {
+		x.onStreamBegun = func() {
 			timer.Stop()
 			unwatch()
 		}
 	}
 	return ctx, func() {
-		x.begun()
+		x.onStreamBegun()
 		cancel(nil)
 	}
 }
@@ -111,26 +111,26 @@
 			return x.endOfStream(resp)
 		}
 		if err != nil {
-			return x.failure(ctx, err)
+			return x.classifyError(ctx, err)
 		}
 		if !x.stream.take(event) {
 			continue
 		}
-		if x.firstEvent.IsZero() {
-			x.firstEvent = time.Now()
-			x.begun()
-			x.g.Directory.RecordFirstToken(c, x.firstEvent)
-			if !x.wrote {
-				metrics.GetOrRegisterTimer("gateway.first_event", x.g.Metrics).UpdateSince(x.began)
+		if x.firstEventAt.IsZero() {
+			x.firstEventAt = time.Now()
+			x.onStreamBegun()
+			x.g.Directory.RecordFirstToken(c, x.firstEventAt)
+			if !x.headWritten {
+				metrics.GetOrRegisterTimer("gateway.first_event", x.g.Metrics).UpdateSince(x.startedAt)
 			}
 		}
 		x.relocation.begun.Store(true)
 		x.beginStream(resp)
 		if _, err := x.w.Write(event); err != nil {
-			return outcome{kind: callerGone, err: err}
+			return outcome{kind: callerLeft, err: err}
 		}
 		if err := flush.Flush(); err != nil {
-			return outcome{kind: callerGone, err: err}
+			return outcome{kind: callerLeft, err: err}
 		}
 	}
 }
@@ -138,7 +138,7 @@
 // beginStream passes the head on with the first event: until then another
 // endpoint may still be asked as if nothing had happened.
 func (x *exchange) beginStream(resp *upstream.Response) {
-	if x.wrote {
+	if x.headWritten {
 		return
 	}
 	x.writeHead(resp.Status, resp.Header, -1)
--- a/internal/coordination/gateway/sync.go
+++ b/internal/coordination/gateway/sync.go
@@ -41,7 +41,7 @@
 	for _, i := range g.State.Instances() {
 		after[i.Address] = i.Incarnation()
 		weights[i.Model] = max(weights[i.Model], i.Weights)
-		properties := routing.Properties{Slots: i.Slots, PrefillRate: assumedPrefillRate, LinkRate: assumedLinkRate, CountsOnly: true}
+		properties := routing.Properties{Slots: i.Slots, PrefillRate: defaultPrefillRate, LinkRate: defaultLinkRate, CountsOnly: true}
 		engine := contextcache.Engine{Domain: i.Domain}
 		if s := table.Services[i.Service]; s != nil && s.Engine != nil {
 			properties.MemoryTokens = s.Engine.MemoryTokens
@@ -55,10 +55,10 @@
 	}
 	// A request that finds the weights known reads the engines: in the other order one
 	// that comes between the two would find none, and its connection would break.
-	g.engines.Store(&members)
+	g.engineHashes.Store(&members)
 	g.weights.Store(&weights)
-	if g.Keeper != nil {
-		g.Keeper.SetEngines(engines)
+	if g.ContextTracker != nil {
+		g.ContextTracker.SetEngines(engines)
 	}
 	for address, stood := range before {
 		// What was open to an earlier start is dead: a request sent on it would be lost
@@ -83,7 +83,7 @@
 			return
 		}
 		if g.IsLeader() {
-			g.Keeper.Clean(ctx, g.oldestWeights())
+			g.ContextTracker.Clean(ctx, g.oldestWeights())
 		}
 	}
 }
--- a/internal/coordination/gateway/weights_test.go
+++ b/internal/coordination/gateway/weights_test.go
@@ -64,7 +64,7 @@
 	})
 	s.gateway.State.SetRoutes(routes.New(2, 10, list, []routes.Service{{Name: "s", Engine: &routes.Engine{Slots: 4}}},
 		[]routes.Customer{{Name: "club", Keys: []string{"key"}}}, routes.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20}))
-	s.gateway.Keeper = newKeeper()
+	s.gateway.ContextTracker = newKeeper()
 	s.gateway.WeightQueries = ring.New[string](MaxWeightQueries)
 	asked := make(chan string, MaxWeightQueries)
 	s.gateway.QueryWeights = func(_ context.Context, i discovery.Instance) (EngineReport, error) {
