--- a/bench/decisions/policies.go
+++ b/bench/decisions/policies.go
@@ -73,27 +73,27 @@
 func sourceNone(*world, *run) (int, int) { return 0, 0 }
 
 func sourceAll(_ *world, r *run) (int, int) {
-	from := r.engine.hint.Resident(r.keys)
+	from := r.engine.hint.ResidentPrefix(r.keys)
 	return from, len(r.keys) - from
 }
 
 // sourceOurs asks the product's decision with what an agent knows.
 func sourceOurs(w *world, r *run) (int, int) {
-	from := r.engine.hint.Resident(r.keys)
+	from := r.engine.hint.ResidentPrefix(r.keys)
 	missing := r.keys[from:]
-	source := contexttransfer.Source{
-		Pieces: len(r.keys), Resident: from, PieceBytes: pieceBytes, PrefillRate: prefillRate,
+	source := contexttransfer.ImportInput{
+		Chunks: len(r.keys), Resident: from, ChunkBytes: pieceBytes, PrefillRate: prefillRate,
 		PrefillTokens: w.backlog(r.engine), Objective: w.site.objective,
 	}
 	for _, k := range missing {
 		store := w.storeOf(k)
 		if store.stored[k] {
-			source.StoredChance += 1 / float64(len(missing))
+			source.StoredProbability += 1 / float64(len(missing))
 		}
 		source.LinkRate += store.links[r.index].Rate(w.clock()) / float64(len(missing))
 		source.LinkBacklog = max(source.LinkBacklog, store.links[r.index].Backlog())
 	}
-	p := contexttransfer.Decide(source)
+	p := contexttransfer.PlanImport(source)
 	return p.From, p.To - p.From
 }
 
--- a/bench/decisions/replay.go
+++ b/bench/decisions/replay.go
@@ -280,7 +280,7 @@
 }
 
 func (w *world) storeOf(key contextkey.Key) *fakeStore {
-	best := contexttransfer.Stores(w.hosts, key, 1)[0]
+	best := contexttransfer.RankStores(w.hosts, key, 1)[0]
 	for _, s := range w.stores {
 		if s.host == best {
 			return s
@@ -350,7 +350,7 @@
 	r.engine.runs--
 	for _, k := range r.keys {
 		// An agent knows what it ran, whatever events are lost.
-		r.engine.hint.Used(k, w.clock())
+		r.engine.hint.MarkUsed(k, w.clock())
 	}
 	if r.measured {
 		w.ttft = append(w.ttft, float64((w.now-r.began+w.site.rtt).Microseconds())/1000)
@@ -372,8 +372,8 @@
 			continue
 		}
 		link := store.links[r.index]
-		worth := contexttransfer.Worth(contexttransfer.Copy{
-			ReturnChance: w.returns, PieceBytes: pieceBytes, PrefillRate: prefillRate, Objective: w.site.objective, LinkRate: link.Rate(w.clock()),
+		worth := contexttransfer.BenefitRatio(contexttransfer.CopyCandidate{
+			ReturnProbability: w.returns, ChunkBytes: pieceBytes, PrefillRate: prefillRate, Objective: w.site.objective, LinkRate: link.Rate(w.clock()),
 		})
 		if (worth < 1 && !w.policy.always) || !link.AllowUpload(pieceBytes, engines, w.clock()) {
 			return
@@ -394,7 +394,7 @@
 	}
 	e.resident[k] = e.lru.PushFront(k)
 	if w.random.Float64() >= w.cond.lostEvents {
-		e.hint.Stored(k, w.clock())
+		e.hint.MarkStored(k, w.clock())
 	}
 	for e.lru.Len() > cachePieces {
 		last := e.lru.Back()
@@ -402,7 +402,7 @@
 		e.lru.Remove(last)
 		delete(e.resident, gone)
 		if w.random.Float64() >= w.cond.lostEvents {
-			e.hint.Evicted(gone)
+			e.hint.MarkEvicted(gone)
 		}
 	}
 }
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -144,7 +144,7 @@
 	self := fleet.Member{ID: s.Platform.Host, Incarnation: uint64(time.Now().UnixNano()), Version: 1, Domain: s.Platform.Domain, Role: fleet.RoleEntry}
 	registry := metrics.NewRegistry()
 	storeClient := upstream.Dialer{Connect: connectTimeout, Silence: silence}
-	keeper := contextcache.New(platform.NewContextStores(&http.Transport{DialContext: storeClient.Dial, MaxIdleConnsPerHost: 2}), log, self.Domain, bootclock.Now)
+	keeper := contextcache.NewTracker(platform.NewContextStores(&http.Transport{DialContext: storeClient.Dial, MaxIdleConnsPerHost: 2}), log, self.Domain, bootclock.Now)
 	keeper.Self = hostOf(s.Platform.Clients)
 	state := discovery.NewState(self, log, time.Now(), func(t *routes.Table) {
 		p.clients.SetLimits(t.Limits)
@@ -152,7 +152,7 @@
 	})
 	state.Now, state.RetireAfter = bootclock.Now, b.WeightsInForce-retireEarly
 	state.BeginWithin = b.WeightsInForce - beginMargin
-	keeper.Started = state.StartedAt
+	keeper.OnEngineStart = state.StartedAt
 	storeDialer := upstream.Dialer{Connect: storeConnect, Silence: silence}
 	storeTransport := &http.Transport{DialContext: storeDialer.Dial, MaxIdleConnsPerHost: 8, DisableCompression: true}
 	store := platform.NewStore(s.Platform.Store, storeTransport)
--- a/internal/command/gateway_peers.go
+++ b/internal/command/gateway_peers.go
@@ -19,7 +19,7 @@
 )
 
 // share has this gateway tell the others what it knows, and hear what they know.
-func (p *gatewayProcess) share(self fleet.Member, store *platform.Store, watcher *discovery.Watcher, director *rollout.Director, keeper *contextcache.Keeper) {
+func (p *gatewayProcess) share(self fleet.Member, store *platform.Store, watcher *discovery.Watcher, director *rollout.Director, keeper *contextcache.Tracker) {
 	sharer := p.shareWork(self, store)
 	if sharer == nil {
 		return
@@ -68,7 +68,7 @@
 
 // shareContents has the gateways of the failure domain share the following of stores and
 // engines. Without, each follows all.
-func (p *gatewayProcess) shareContents(sharer *loadreport.Exchanger, keeper *contextcache.Keeper) {
+func (p *gatewayProcess) shareContents(sharer *loadreport.Exchanger, keeper *contextcache.Tracker) {
 	if p.settings.Platform.Contents == "" {
 		return
 	}
@@ -84,7 +84,7 @@
 		}
 		return names
 	}
-	contents := &contentreport.Sharer{Group: group, Hosts: sharer.DomainHosts, Contents: keeper, Log: p.log}
+	contents := &contentreport.Exchanger{Group: group, Hosts: sharer.DomainHosts, Tracker: keeper, Log: p.log}
 	p.run(contents.Run)
 }
 
--- a/internal/coordination/agent/agent.go
+++ b/internal/coordination/agent/agent.go
@@ -81,7 +81,7 @@
 		ledger: ledger.New(cfg.Ledger, node.Table().Self().Incarnation), base: base, cut: cut,
 	}
 	if eng != nil {
-		a.mover = contexttransfer.New(eng, open, store, a.engines, logger, registry)
+		a.mover = contexttransfer.NewMover(eng, open, store, a.engines, logger, registry)
 	}
 	return a
 }
@@ -102,8 +102,8 @@
 	var group sync.WaitGroup
 	if a.engine != nil {
 		group.Go(func() { a.statusDuty(ctx) })
-		group.Go(func() { a.mover.EventsDuty(ctx, a.cfg.StatusEvery) })
-		group.Go(func() { a.mover.ExportDuty(ctx) })
+		group.Go(func() { a.mover.FollowEvents(ctx, a.cfg.StatusEvery) })
+		group.Go(func() { a.mover.RunExports(ctx) })
 	}
 	group.Go(func() { a.node.ReportDuty(ctx, a.load) })
 	group.Wait()
@@ -136,7 +136,7 @@
 	a.status = status
 	a.mu.Unlock()
 	if swapped {
-		a.mover.ForgetResident()
+		a.mover.ClearResidency()
 	}
 	a.node.Table().Update(time.Now(), func(m *fleet.Member) {
 		m.Endpoint.Model, m.Endpoint.WeightVersion = status.Model, status.WeightVersion
--- a/internal/coordination/agent/run.go
+++ b/internal/coordination/agent/run.go
@@ -247,7 +247,7 @@
 	move, movable := a.movable(r, request, before)
 	imported := 0
 	if movable {
-		imported = a.mover.Prepare(ctx, move)
+		imported = a.mover.ImportContext(ctx, move)
 	}
 	stream, err := a.engine.Generate(ctx, request)
 	if err != nil {
@@ -257,7 +257,7 @@
 	defer stream.Close()
 	started := func(s *engine.Started) error {
 		if movable {
-			a.mover.Ran(move)
+			a.mover.RecordComputed(move)
 		}
 		return send(a.withLoad(startedEvent(s, imported)))
 	}
@@ -300,7 +300,7 @@
 	a.mu.Unlock()
 	p := contexttransfer.Prompt{
 		Customer: customer, Service: service, Keys: request.Blocks, Status: status,
-		Waiting: max(0, waiting), RequestID: request.RequestID,
+		QueuedTokens: max(0, waiting), RequestID: request.RequestID,
 	}
 	return p, knownCustomer && knownService && len(view.StoreHosts) > 0 && len(request.Blocks) > 0
 }
--- a/internal/coordination/contentreport/exchanger.go
+++ b/internal/coordination/contentreport/exchanger.go
@@ -18,24 +18,24 @@
 // within a second, and one of its followers' calls waits 0.3 s of that.
 const tellEvery = 200 * time.Millisecond
 
-// Contents knows what stores and engines hold.
-type Contents interface {
-	// Outgoing takes what is to be told now.
-	Outgoing() []contextcache.Report
-	TakeReport(contextcache.Report)
+// Tracker knows what stores and engines hold.
+type Tracker interface {
+	// DrainReports takes what is to be told now.
+	DrainReports() []contextcache.Report
+	ApplyReport(contextcache.Report)
 }
 
-// Sharer exchanges reports. Its fields are set before Run.
-type Sharer struct {
+// Exchanger exchanges reports. Its fields are set before Run.
+type Exchanger struct {
 	Group *datagram.Group
 	// Hosts lists the other processes of the failure domain.
-	Hosts    func() []netip.Addr
-	Contents Contents
-	Log      *zap.Logger
+	Hosts   func() []netip.Addr
+	Tracker Tracker
+	Log     *zap.Logger
 }
 
 // Run exchanges reports until ctx ends.
-func (s *Sharer) Run(ctx context.Context) {
+func (s *Exchanger) Run(ctx context.Context) {
 	var duties sync.WaitGroup
 	duties.Go(func() { s.Group.Receive(ctx, s.take) })
 	for pause.For(ctx, tellEvery) {
@@ -44,12 +44,12 @@
 	duties.Wait()
 }
 
-func (s *Sharer) tell() {
+func (s *Exchanger) tell() {
 	hosts := s.Hosts()
 	if len(hosts) == 0 {
 		return
 	}
-	messages, err := encode(s.Contents.Outgoing())
+	messages, err := encode(s.Tracker.DrainReports())
 	if err != nil {
 		s.Log.Error("content report", zap.Error(err))
 	}
@@ -58,13 +58,13 @@
 	}
 }
 
-func (s *Sharer) take(data []byte, from net.Addr) {
+func (s *Exchanger) take(data []byte, from net.Addr) {
 	reports, err := decode(data)
 	if err != nil {
 		s.Log.Warn("content report does not decode", zap.Stringer("from", from), zap.Error(err))
 		return
 	}
 	for _, r := range reports {
-		s.Contents.TakeReport(r)
+		s.Tracker.ApplyReport(r)
 	}
 }
--- a/internal/coordination/contentreport/exchanger_test.go
+++ b/internal/coordination/contentreport/exchanger_test.go
@@ -18,9 +18,9 @@
 	heard chan contextcache.Report
 }
 
-func (c *contents) Outgoing() []contextcache.Report { return c.tells }
+func (c *contents) DrainReports() []contextcache.Report { return c.tells }
 
-func (c *contents) TakeReport(r contextcache.Report) {
+func (c *contents) ApplyReport(r contextcache.Report) {
 	select {
 	case c.heard <- r:
 	default:
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	c := &contents{tells: tells, heard: make(chan contextcache.Report, 1)}
-	s := &Sharer{Group: group, Hosts: func() []netip.Addr { return []netip.Addr{netip.MustParseAddr(other)} }, Contents: c, Log: zap.NewNop()}
+	s := &Exchanger{Group: group, Hosts: func() []netip.Addr { return []netip.Addr{netip.MustParseAddr(other)} }, Tracker: c, Log: zap.NewNop()}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
--- a/internal/coordination/contentreport/format.go
+++ b/internal/coordination/contentreport/format.go
@@ -76,10 +76,10 @@
 
 // add adds a change to the report that was begun last; false if there is no room for it.
 func (m *message) add(r contextcache.Report, c contextcache.Change) bool {
-	size := changeBytes + len(c.Part.ID)
-	salt, model := slices.Index(m.Salts, c.Part.Salt), slices.Index(m.Models, c.Model)
+	size := changeBytes + len(c.Segment.ID)
+	salt, model := slices.Index(m.Salts, c.Segment.Salt), slices.Index(m.Models, c.Model)
 	if salt < 0 {
-		size += textBytes + len(c.Part.Salt)
+		size += textBytes + len(c.Segment.Salt)
 	}
 	if model < 0 {
 		size += textBytes + len(c.Model)
@@ -88,7 +88,7 @@
 		return false
 	}
 	if salt < 0 {
-		salt, m.Salts = len(m.Salts), append(m.Salts, c.Part.Salt)
+		salt, m.Salts = len(m.Salts), append(m.Salts, c.Segment.Salt)
 	}
 	if model < 0 {
 		model, m.Models = len(m.Models), append(m.Models, c.Model)
@@ -100,7 +100,7 @@
 	}
 	last := m.Contents[len(m.Contents)-1]
 	last.Changes = append(last.Changes, &wire.ContentChange{
-		Salt: uint32(salt), Model: uint32(model), Id: c.Part.ID, Tokens: uint32(max(0, tokens)), BeforeNext: uint64(max(0, r.Next-c.Number)),
+		Salt: uint32(salt), Model: uint32(model), Id: c.Segment.ID, Tokens: uint32(max(0, tokens)), BeforeNext: uint64(max(0, r.Next-c.Number)),
 	})
 	return true
 }
@@ -135,8 +135,8 @@
 		}
 		r.Changes = append(r.Changes, contextcache.Change{
 			Number: r.Next - int64(c.GetBeforeNext()), Added: c.GetTokens() > 0,
-			Part: contextcache.PartKey{Salt: m.GetSalts()[c.GetSalt()], ID: c.GetId()},
-			Held: contextcache.Held{Tokens: int(c.GetTokens()), Model: m.GetModels()[c.GetModel()]},
+			Segment:     contextcache.SegmentKey{Salt: m.GetSalts()[c.GetSalt()], ID: c.GetId()},
+			SegmentInfo: contextcache.SegmentInfo{Tokens: int(c.GetTokens()), Model: m.GetModels()[c.GetModel()]},
 		})
 	}
 	return r, nil
--- a/internal/coordination/contentreport/format_test.go
+++ b/internal/coordination/contentreport/format_test.go
@@ -18,7 +18,7 @@
 	for i := range 5 {
 		r := contextcache.Report{Address: fmt.Sprintf("10.0.0.%d:8080", i), Epoch: int64(1000 + i), AsOf: 1_700_000_000_000 + int64(i), Next: 900}
 		for n := range 60 {
-			c := contextcache.Change{Number: int64(800 + n), Added: n%3 != 0, Part: contextcache.PartKey{Salt: fmt.Sprint("salt.", n%2), ID: fmt.Sprintf("%08x", n)}, Held: contextcache.Held{Model: "m"}}
+			c := contextcache.Change{Number: int64(800 + n), Added: n%3 != 0, Segment: contextcache.SegmentKey{Salt: fmt.Sprint("salt.", n%2), ID: fmt.Sprintf("%08x", n)}, SegmentInfo: contextcache.SegmentInfo{Model: "m"}}
 			if c.Added {
 				c.Tokens = 100 * n
 			}
@@ -113,7 +113,7 @@
 		}
 		for _, r := range reports {
 			for _, c := range r.Changes {
-				if c.Number < 0 || c.Number > r.Next || c.Tokens < 0 || c.Part.ID == "" {
+				if c.Number < 0 || c.Number > r.Next || c.Tokens < 0 || c.Segment.ID == "" {
 					t.Errorf("%+v", c)
 				}
 			}
--- a/internal/coordination/contextcache/capacity_test.go
+++ b/internal/coordination/contextcache/capacity_test.go
@@ -33,13 +33,13 @@
 		services[small] = &routes.Service{Store: &routes.Store{Address: small, MemoryTokens: 1_400_000, LinkBytesPerSecond: 9 << 30}}
 		services[large] = &routes.Service{Store: &routes.Store{Address: large, MemoryTokens: 12_000_000, LinkBytesPerSecond: 3 << 30}}
 	}
-	var keepers []*Keeper
+	var keepers []*Tracker
 	for range processes {
-		k := New(nil, zap.NewNop(), "a", c.Now)
+		k := NewTracker(nil, zap.NewNop(), "a", c.Now)
 		k.SetStores(services)
 		k.SetEngines(map[string]Engine{"10.0.2.1:1": {TokenBytes: tokenBytes}})
 		for address, s := range k.stores {
-			k.takeListing(address, Listing{Epoch: 1, Whole: map[PartKey]Held{}}, c.now)
+			k.takeListing(address, Listing{Epoch: 1, Complete: map[SegmentKey]SegmentInfo{}}, c.now)
 			room[address] = s.config.MemoryTokens
 		}
 		keepers = append(keepers, k)
@@ -57,7 +57,7 @@
 			}
 		}
 		id := fmt.Sprint("p", n)
-		to := keepers[n%processes].Plan("s.1", id, []Part{{id, tokens}}, "", 0).To[0]
+		to := keepers[n%processes].Plan("s.1", id, []Segment{{id, tokens}}, "", 0).SaveTo[0]
 		if to == "" || room[to] < tokens {
 			lost++
 		} else {
--- a/internal/coordination/contextcache/engines.go
+++ b/internal/coordination/contextcache/engines.go
@@ -46,14 +46,14 @@
 	farPause    = time.Minute
 )
 
-// ErrTooMany tells that an engine holds as many calls as it takes.
-const ErrTooMany = errors.ConstError("too many calls are held")
+// ErrTooManyCalls tells that an engine holds as many calls as it takes.
+const ErrTooManyCalls = errors.ConstError("too many calls are held")
 
-// Resident tells how much of a prompt's context an engine keeps.
-type Resident struct {
+// ResidentPrefix tells how much of a prompt's context an engine keeps.
+type ResidentPrefix struct {
 	Address string
-	// Tokens and Parts from the first part on, without a gap.
-	Tokens, Parts int
+	// Tokens and Segments from the first part on, without a gap.
+	Tokens, Segments int
 }
 
 // Engine is an engine whose memory is followed.
@@ -66,7 +66,7 @@
 }
 
 // SetEngines tells the engines whose memory is followed, by address.
-func (k *Keeper) SetEngines(engines map[string]Engine) {
+func (k *Tracker) SetEngines(engines map[string]Engine) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for address, e := range engines {
@@ -88,7 +88,7 @@
 
 // firstEvent is the number from which an engine's events are followed: where others have
 // told of it, the next one.
-func (k *Keeper) firstEvent(address string) int64 {
+func (k *Tracker) firstEvent(address string) int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if e := k.engines[address]; e != nil && e.known && e.next > 0 {
@@ -101,7 +101,7 @@
 }
 
 // followedEngines lists the engines whose memory this process follows itself; k.mu is held.
-func (k *Keeper) followedEngines(now time.Time) []string {
+func (k *Tracker) followedEngines(now time.Time) []string {
 	var near, all []string
 	for address, e := range k.engines {
 		all = append(all, address)
@@ -130,16 +130,16 @@
 
 // followRank orders engines differently in each process, and nearly the same when some
 // come or go.
-func (k *Keeper) followRank(address string) uint64 { return rank(k.Self, address) }
+func (k *Tracker) followRank(address string) uint64 { return rank(k.Self, address) }
 
 // resident lists the engines that keep the beginning of a prompt; k.mu is held.
-func (k *Keeper) resident(salt string, parts []Part, now time.Time) []Resident {
-	var out []Resident
+func (k *Tracker) resident(salt string, parts []Segment, now time.Time) []ResidentPrefix {
+	var out []ResidentPrefix
 	for address, e := range k.engines {
 		if !e.known || now.Sub(e.heard) > engineFresh {
 			continue
 		}
-		if r := e.resident(salt, parts); r.Parts > 0 {
+		if r := e.resident(salt, parts); r.Segments > 0 {
 			r.Address = address
 			out = append(out, r)
 		}
@@ -148,7 +148,7 @@
 }
 
 // informed decides Contents.Informed; k.mu is held.
-func (k *Keeper) informed(now time.Time) bool {
+func (k *Tracker) informed(now time.Time) bool {
 	known, near, knownNear := 0, 0, 0
 	for _, e := range k.engines {
 		fresh := e.known && now.Sub(e.heard) <= engineFresh
@@ -168,13 +168,13 @@
 	return knownNear > 0 && 2*knownNear >= near
 }
 
-func (s *store) resident(salt string, parts []Part) Resident {
-	var r Resident
+func (s *store) resident(salt string, parts []Segment) ResidentPrefix {
+	var r ResidentPrefix
 	for _, p := range parts {
-		if !s.holds(PartKey{salt, p.ID}, p.Tokens) {
+		if !s.holds(SegmentKey{salt, p.ID}, p.Tokens) {
 			break
 		}
-		r.Parts++
+		r.Segments++
 		r.Tokens += p.Tokens
 	}
 	return r
@@ -182,7 +182,7 @@
 
 // followEngine follows an engine's events from the oldest it still has. It is
 // never listed: that would stall its work.
-func (k *Keeper) followEngine(ctx context.Context, address string) {
+func (k *Tracker) followEngine(ctx context.Context, address string) {
 	next := k.firstEvent(address)
 	if !pause.For(ctx, time.Duration(rand.Int64N(int64(startSpread)))) {
 		return
@@ -190,18 +190,18 @@
 	p := pace{usual: engineWait}
 	for p.rest(ctx) {
 		call, cancel := context.WithTimeout(ctx, p.wait()+callMargin)
-		events, err := k.Feed.Events(call, address, next, p.wait())
+		events, err := k.Client.Events(call, address, next, p.wait())
 		cancel()
 		if err == nil {
 			next = k.takeEngineEvents(address, events)
-			k.tellStart(address, events.Born)
+			k.tellStart(address, events.StartMS)
 			continue
 		}
 		if ctx.Err() != nil {
 			// Others tell of it from now on.
 			return
 		}
-		p.crowded = p.crowded || errors.Is(err, ErrTooMany)
+		p.crowded = p.crowded || errors.Is(err, ErrTooManyCalls)
 		if wait := k.afterFailure(address, err); wait > 0 && !pause.For(ctx, pause.Jitter(wait)) {
 			return
 		}
@@ -211,14 +211,14 @@
 // afterFailure says how long to wait before an engine is asked again, beside its
 // pace. An engine of this domain that holds too many calls is only asked less; of
 // one that does not answer nothing is used any more.
-func (k *Keeper) afterFailure(address string, err error) time.Duration {
+func (k *Tracker) afterFailure(address string, err error) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e := k.engines[address]
 	if e == nil {
 		return enginePause
 	}
-	if errors.Is(err, ErrTooMany) {
+	if errors.Is(err, ErrTooManyCalls) {
 		if e.config.Domain != k.Domain {
 			return farPause
 		}
@@ -232,7 +232,7 @@
 }
 
 // tellStart passes on that an engine has told of another start than before.
-func (k *Keeper) tellStart(address string, born int64) {
+func (k *Tracker) tellStart(address string, born int64) {
 	k.mu.Lock()
 	e := k.engines[address]
 	news := e != nil && born != 0 && e.born != born
@@ -240,12 +240,12 @@
 		e.born = born
 	}
 	k.mu.Unlock()
-	if news && k.Started != nil {
-		k.Started(address, born)
+	if news && k.OnEngineStart != nil {
+		k.OnEngineStart(address, born)
 	}
 }
 
-func (k *Keeper) takeEngineEvents(address string, events Events) (next int64) {
+func (k *Tracker) takeEngineEvents(address string, events Events) (next int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e := k.engines[address]
@@ -257,7 +257,7 @@
 		k.takeClock(events.ClockMS, now)
 	}
 	if e.epoch != events.Epoch || events.Lost {
-		e.load(Listing{Epoch: events.Epoch, Next: events.Next, Whole: map[PartKey]Held{}}, now)
+		e.load(Listing{Epoch: events.Epoch, Next: events.Next, Complete: map[SegmentKey]SegmentInfo{}}, now)
 		events.Lost = false
 	}
 	// After a failed call the events go on where they stopped.
--- a/internal/coordination/contextcache/follow_test.go
+++ b/internal/coordination/contextcache/follow_test.go
@@ -18,7 +18,7 @@
 func TestFollowingAStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &fakeStoreFeed{epoch: 1}
-		k := New(feed, zap.NewNop(), "a", time.Now)
+		k := NewTracker(feed, zap.NewNop(), "a", time.Now)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
@@ -70,7 +70,7 @@
 	if f.held == f.most {
 		f.refused++
 		f.mu.Unlock()
-		return Events{}, ErrTooMany
+		return Events{}, ErrTooManyCalls
 	}
 	f.held++
 	f.mu.Unlock()
@@ -106,10 +106,10 @@
 		feed := &crowdedFeed{fakeStoreFeed: fakeStoreFeed{epoch: 1}, most: 12}
 		ctx, cancel := context.WithCancel(t.Context())
 		var done sync.WaitGroup
-		var keepers []*Keeper
+		var keepers []*Tracker
 		const processes = 30
 		for range processes {
-			k := New(feed, zap.NewNop(), "a", time.Now)
+			k := NewTracker(feed, zap.NewNop(), "a", time.Now)
 			done.Go(func() { k.Run(ctx) })
 			k.SetStores(map[string]*routes.Service{"s": {Store: &routes.Store{Address: near, MemoryTokens: 1000}}})
 			keepers = append(keepers, k)
--- a/internal/coordination/contextcache/plan.go
+++ b/internal/coordination/contextcache/plan.go
@@ -9,8 +9,8 @@
 	"limpetwall/internal/coordination/routing"
 )
 
-// Part is one part of a prompt.
-type Part struct {
+// Segment is one part of a prompt.
+type Segment struct {
 	ID     string
 	Tokens int
 }
@@ -40,31 +40,31 @@
 	return min(importTime, time.Duration(importShare*float64(objective)))
 }
 
-// Contents is what stores and engines hold of a prompt.
-type Contents struct {
+// LookupResult is what stores and engines hold of a prompt.
+type LookupResult struct {
 	// Imports tells of each part whether it can be brought to an engine, and from where
 	// Plan would bring it.
 	Imports []routing.Segment
 	// Resident lists the engines that keep the beginning.
-	Resident []Resident
-	// Informed tells whether the memory of most engines of this failure domain is known, so
+	Resident []ResidentPrefix
+	// EnginesKnown tells whether the memory of most engines of this failure domain is known, so
 	// that what none of them is said to keep is taken to be kept by none. Where the domain
 	// has no engine, all count.
-	Informed bool
+	EnginesKnown bool
 }
 
-// Contents looks a prompt up in all stores and engines.
-func (k *Keeper) Contents(salt string, parts []Part) Contents {
+// Lookup looks a prompt up in all stores and engines.
+func (k *Tracker) Lookup(salt string, parts []Segment) LookupResult {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.Now()
-	c := Contents{Resident: k.resident(salt, parts, now), Informed: k.informed(now)}
+	c := LookupResult{Resident: k.resident(salt, parts, now), EnginesKnown: k.informed(now)}
 	c.Imports = k.imports(salt, parts, c.Resident, now)
 	return c
 }
 
 // imports needs k.mu.
-func (k *Keeper) imports(salt string, parts []Part, resident []Resident, now time.Time) []routing.Segment {
+func (k *Tracker) imports(salt string, parts []Segment, resident []ResidentPrefix, now time.Time) []routing.Segment {
 	out := make([]routing.Segment, 0, len(parts))
 	_, engine := holders(resident, "")
 	for n, p := range parts {
@@ -73,8 +73,8 @@
 			continue
 		}
 		source := k.engines[engine.Address]
-		if n >= engine.Parts {
-			source = k.stores[k.holderOf(PartKey{salt, p.ID}, p.Tokens, now)]
+		if n >= engine.Segments {
+			source = k.stores[k.holderOf(SegmentKey{salt, p.ID}, p.Tokens, now)]
 		}
 		if source != nil {
 			out[n].Stored, out[n].Domain, out[n].TransferTime = true, source.config.Domain, source.transfer(p.Tokens, k.tokenBytes)
@@ -85,12 +85,12 @@
 
 // Plan says for each part of a prompt where it comes from and goes to.
 type Plan struct {
-	// From and To hold an address for each part, "" for none.
-	From, To []string
-	// Stored tokens, from the first part on, are held by stores.
-	Stored int
-	// Until is the end of imports by the endpoints' clock, 0 if it is not known.
-	Until int64
+	// ImportFrom and SaveTo hold an address for each part, "" for none.
+	ImportFrom, SaveTo []string
+	// StoredTokens tokens, from the first part on, are held by stores.
+	StoredTokens int
+	// ImportDeadline is the end of imports by the endpoints' clock, 0 if it is not known.
+	ImportDeadline int64
 }
 
 // Plan decides where a prompt's parts are imported from and where they are saved.
@@ -103,31 +103,31 @@
 // than its events come, and a first part that is gone makes it read all behind, imports
 // included. With 12 engines whose running requests fill most of 52,000 tokens, shared
 // tokens read again fell from 3.1 to 0.4 million of 8.8 on the heaviest day.
-func (k *Keeper) Plan(salt, context string, parts []Part, target string, objective time.Duration) Plan {
+func (k *Tracker) Plan(salt, context string, parts []Segment, target string, objective time.Duration) Plan {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.Now()
-	p := Plan{From: make([]string, len(parts)), To: make([]string, len(parts))}
+	p := Plan{ImportFrom: make([]string, len(parts)), SaveTo: make([]string, len(parts))}
 	if !k.clockKnown {
 		return p
 	}
-	p.Until = now.Add(importWithin(objective)).UnixMilli() + k.clock
+	p.ImportDeadline = now.Add(importWithin(objective)).UnixMilli() + k.clock
 	own, other := holders(k.resident(salt, parts, now), target)
 	unbroken := true
 	for i, part := range parts {
-		key := PartKey{salt, part.ID}
+		key := SegmentKey{salt, part.ID}
 		holder := k.holderOf(key, part.Tokens, now)
 		if holder != "" && unbroken {
-			p.Stored += part.Tokens
+			p.StoredTokens += part.Tokens
 		} else {
 			unbroken = false
 		}
-		p.From[i] = holder
-		if i < other.Parts && (i >= own || holder == "") {
-			p.From[i] = other.Address
+		p.ImportFrom[i] = holder
+		if i < other.Segments && (i >= own || holder == "") {
+			p.ImportFrom[i] = other.Address
 		}
 		if holder == "" {
-			p.To[i] = k.keep(key, context, part.Tokens, now)
+			p.SaveTo[i] = k.keep(key, context, part.Tokens, now)
 		}
 	}
 	return p
@@ -135,12 +135,12 @@
 
 // holders tells how many of a prompt's first parts the target keeps, and which other
 // engine keeps most.
-func holders(resident []Resident, target string) (own int, other Resident) {
+func holders(resident []ResidentPrefix, target string) (own int, other ResidentPrefix) {
 	for _, r := range resident {
 		switch {
 		case r.Address == target:
-			own = r.Parts
-		case r.Parts > other.Parts:
+			own = r.Segments
+		case r.Segments > other.Segments:
 			other = r
 		}
 	}
@@ -148,7 +148,7 @@
 }
 
 // holderOf finds a store that holds a part, one of this failure domain first.
-func (k *Keeper) holderOf(key PartKey, tokens int, now time.Time) string {
+func (k *Tracker) holderOf(key SegmentKey, tokens int, now time.Time) string {
 	best := ""
 	for address, s := range k.stores {
 		if !s.usable(now) || !s.holds(key, tokens) {
@@ -164,7 +164,7 @@
 // keep picks the store that a part is saved in, "" for none: all processes choose the
 // same, by a hash of the context, in proportion to the stores' links. A full one is
 // followed by the next in its order.
-func (k *Keeper) keep(key PartKey, context string, tokens int, now time.Time) string {
+func (k *Tracker) keep(key SegmentKey, context string, tokens int, now time.Time) string {
 	best, bestRank := "", 0.0
 	for address, s := range k.stores {
 		if !s.usable(now) || s.holds(key, 1) || !s.hasRoom(key, tokens, now) {
--- a/internal/coordination/contextcache/reports.go
+++ b/internal/coordination/contextcache/reports.go
@@ -56,9 +56,9 @@
 	untold []Change
 }
 
-// Outgoing takes what is to be told now of the stores and engines that this process follows
+// DrainReports takes what is to be told now of the stores and engines that this process follows
 // for its failure domain.
-func (k *Keeper) Outgoing() []Report {
+func (k *Tracker) DrainReports() []Report {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.Now()
@@ -86,9 +86,9 @@
 	return out
 }
 
-// TakeReport takes in what another process tells. Of two that tell of one store the later
+// ApplyReport takes in what another process tells. Of two that tell of one store the later
 // word counts: what was said of its life before it started anew comes too late.
-func (k *Keeper) TakeReport(r Report) {
+func (k *Tracker) ApplyReport(r Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.Now()
@@ -113,7 +113,7 @@
 			return
 		}
 		k.Log.Info("context is told of a new start", zap.String("address", r.Address), zap.Int64("epoch", r.Epoch), zap.Int64("before", s.epoch))
-		s.load(Listing{Epoch: r.Epoch, Whole: map[PartKey]Held{}}, asOf)
+		s.load(Listing{Epoch: r.Epoch, Complete: map[SegmentKey]SegmentInfo{}}, asOf)
 	}
 	s.takeTold(r, asOf)
 }
@@ -133,7 +133,7 @@
 }
 
 // keepUntold keeps changes for the others if this process tells of the store; k.mu is held.
-func (k *Keeper) keepUntold(address string, s *store, changes []Change) {
+func (k *Tracker) keepUntold(address string, s *store, changes []Change) {
 	if !k.telling[address] {
 		s.untold = nil
 		return
@@ -144,7 +144,7 @@
 
 // follows decides whether this process follows a store or engine, and notes whether it tells
 // others of it; k.mu is held.
-func (k *Keeper) follows(address string, s *store, untold time.Duration, now time.Time) bool {
+func (k *Tracker) follows(address string, s *store, untold time.Duration, now time.Time) bool {
 	if len(k.peers) < tellers {
 		return true
 	}
@@ -159,7 +159,7 @@
 }
 
 // setPeers takes in who the others of the domain are; k.mu is held.
-func (k *Keeper) setPeers() {
+func (k *Tracker) setPeers() {
 	if k.Peers == nil {
 		return
 	}
@@ -173,7 +173,7 @@
 
 // tells ranks this process among the others of its domain for an address: all come to the
 // same, and one that comes or goes changes little.
-func (k *Keeper) tells(address string) bool {
+func (k *Tracker) tells(address string) bool {
 	if chosen, known := k.chosen[address]; known {
 		return chosen
 	}
--- a/internal/coordination/contextcache/reports_test.go
+++ b/internal/coordination/contextcache/reports_test.go
@@ -17,7 +17,7 @@
 
 // relay is a failure domain whose processes tell each other what they follow.
 type relay struct {
-	keepers []*Keeper
+	keepers []*Tracker
 	mu      sync.Mutex
 	// cut processes hear and tell nothing.
 	cut map[int]bool
@@ -28,11 +28,11 @@
 const relayed = 10
 
 // newRelay starts processes over a feed; all know each other.
-func newRelay(t *testing.T, feed Feed, stores map[string]*routes.Service) *relay {
+func newRelay(t *testing.T, feed Client, stores map[string]*routes.Service) *relay {
 	r := &relay{cut: map[int]bool{}}
 	var done sync.WaitGroup
 	for i := range relayed {
-		k := New(feed, zap.NewNop(), "a", time.Now)
+		k := NewTracker(feed, zap.NewNop(), "a", time.Now)
 		k.Self = fmt.Sprint("p", i)
 		k.Peers = func() []string {
 			var out []string
@@ -72,10 +72,10 @@
 		if r.cut[i] {
 			continue
 		}
-		for _, report := range from.Outgoing() {
+		for _, report := range from.DrainReports() {
 			for j, to := range r.keepers {
 				if i != j && !r.cut[j] {
-					to.TakeReport(report)
+					to.ApplyReport(report)
 				}
 			}
 		}
@@ -98,7 +98,7 @@
 		cut := r.cut[i]
 		r.mu.Unlock()
 		k.mu.Lock()
-		if s := k.stores[address]; !cut && s != nil && s.usable(k.Now()) && s.holds(PartKey{"s", "p1"}, 500) {
+		if s := k.stores[address]; !cut && s != nil && s.usable(k.Now()) && s.holds(SegmentKey{"s", "p1"}, 500) {
 			n++
 		}
 		k.mu.Unlock()
@@ -198,7 +198,7 @@
 }
 
 // toldKeeper is a process that is told of a store which it listed 10 s ago.
-func toldKeeper(t *testing.T) (*Keeper, *clock) {
+func toldKeeper(t *testing.T) (*Tracker, *clock) {
 	k, c := keeper(t)
 	c.now = c.now.Add(10 * time.Second)
 	k.endpointClock.observe(c.now.UnixMilli()+5000, c.now)
@@ -216,16 +216,16 @@
 func TestWordOfAnEarlierStartComesTooLate(t *testing.T) {
 	k, c := toldKeeper(t)
 	before := Report{Address: near, Epoch: 7, AsOf: endpointsTime(c.now), Next: 3, Changes: []Change{added("s", "p1", 500)}}
-	k.TakeReport(before)
+	k.ApplyReport(before)
 	if k.stored("s", parts) != 500 {
 		t.Fatal("what is told is not used")
 	}
 	c.now = c.now.Add(100 * time.Millisecond)
-	k.TakeReport(Report{Address: near, Epoch: 8, AsOf: endpointsTime(c.now), Next: 0})
+	k.ApplyReport(Report{Address: near, Epoch: 8, AsOf: endpointsTime(c.now), Next: 0})
 	if k.stored("s", parts) != 0 {
 		t.Error("parts of the start before are used")
 	}
-	k.TakeReport(before)
+	k.ApplyReport(before)
 	if k.stored("s", parts) != 0 || k.stores[near].epoch != 8 {
 		t.Error("a late word brings the start before back")
 	}
@@ -241,7 +241,7 @@
 	c.now = c.now.Add(3 * time.Second)
 	// So does an answer of an endpoint, which makes its clock look behind.
 	k.takeClock(endpointsTime(c.now)-3000, c.now)
-	k.TakeReport(word)
+	k.ApplyReport(word)
 	if k.stored("s", parts) != 0 {
 		t.Error("a word of three seconds ago is taken for fresh")
 	}
@@ -251,10 +251,10 @@
 // second behind the first.
 func TestChangesToldTwice(t *testing.T) {
 	k, c := toldKeeper(t)
-	plus, minus := added("s", "p1", 500), Change{Part: PartKey{"s", "p1"}}
+	plus, minus := added("s", "p1", 500), Change{Segment: SegmentKey{"s", "p1"}}
 	plus.Number, minus.Number = 3, 4
-	k.TakeReport(Report{Address: near, Epoch: 7, AsOf: endpointsTime(c.now), Next: 5, Changes: []Change{plus, minus}})
-	k.TakeReport(Report{Address: near, Epoch: 7, AsOf: endpointsTime(c.now), Next: 4, Changes: []Change{plus}})
+	k.ApplyReport(Report{Address: near, Epoch: 7, AsOf: endpointsTime(c.now), Next: 5, Changes: []Change{plus, minus}})
+	k.ApplyReport(Report{Address: near, Epoch: 7, AsOf: endpointsTime(c.now), Next: 4, Changes: []Change{plus}})
 	if k.stored("s", parts) != 0 {
 		t.Error("a part that is gone is brought back by the later word of an earlier change")
 	}
@@ -265,11 +265,11 @@
 // What the store held before is in no later word: it lists it once itself.
 func TestNewcomerListsBeforeItIsTold(t *testing.T) {
 	c := &clock{epoch}
-	k := New(nil, zap.NewNop(), "a", c.Now)
+	k := NewTracker(nil, zap.NewNop(), "a", c.Now)
 	k.Self, k.Peers = "p0", func() []string { return []string{"p1", "p2", "p3", "p4", "p5", "p6"} }
 	k.SetStores(oneStore())
 	k.endpointClock.observe(endpointsTime(c.now), c.now)
-	k.TakeReport(Report{Address: near, Epoch: 7, AsOf: endpointsTime(c.now), Next: 3})
+	k.ApplyReport(Report{Address: near, Epoch: 7, AsOf: endpointsTime(c.now), Next: 3})
 	if k.followers()[near] == nil {
 		t.Error("not listed")
 	}
--- a/internal/coordination/contextcache/store.go
+++ b/internal/coordination/contextcache/store.go
@@ -10,13 +10,13 @@
 	"limpetwall/internal/state/routes"
 )
 
-// PartKey names a part within a store: contexts under different salts share nothing.
-type PartKey struct {
+// SegmentKey names a part within a store: contexts under different salts share nothing.
+type SegmentKey struct {
 	Salt, ID string
 }
 
-// Held is what a store says of a whole part.
-type Held struct {
+// SegmentInfo is what a store says of a whole part.
+type SegmentInfo struct {
 	// Tokens stored now.
 	Tokens int
 	// Model that made it.
@@ -26,10 +26,10 @@
 // Change is one event of a store.
 type Change struct {
 	// Number of the event.
-	Number int64
-	Added  bool
-	Part   PartKey
-	Held
+	Number  int64
+	Added   bool
+	Segment SegmentKey
+	SegmentInfo
 }
 
 // Listing is all that a store holds.
@@ -37,10 +37,10 @@
 	// Epoch changes when the store restarts, empty.
 	Epoch int64
 	// Next is where to go on with events.
-	Next  int64
-	Whole map[PartKey]Held
+	Next     int64
+	Complete map[SegmentKey]SegmentInfo
 	// Partial parts are being written, or broke off; they keep the space they reserved.
-	Partial map[PartKey]int
+	Partial map[SegmentKey]int
 }
 
 // Events are what changed in a store.
@@ -51,8 +51,8 @@
 	Changes []Change
 	// ClockMS is the endpoints' clock, 0 if not told.
 	ClockMS int64
-	// Born is the Unix millisecond of the teller's start, 0 if not told.
-	Born int64
+	// StartMS is the Unix millisecond of the teller's start, 0 if not told.
+	StartMS int64
 }
 
 const (
@@ -73,7 +73,7 @@
 	known  bool
 	epoch  int64
 	next   int64
-	whole  map[PartKey]Held
+	whole  map[SegmentKey]SegmentInfo
 	// reserved is what partial parts keep.
 	reserved int
 	used     int
@@ -83,7 +83,7 @@
 	// is suspended.
 	heard time.Time
 	// pending saves, with when they were asked for and their tokens.
-	pending       map[PartKey]pendingSave
+	pending       map[SegmentKey]pendingSave
 	pendingTokens int
 	sharing
 }
@@ -94,15 +94,15 @@
 }
 
 func newStore(c routes.Store) *store {
-	return &store{config: c, whole: map[PartKey]Held{}, pending: map[PartKey]pendingSave{}}
+	return &store{config: c, whole: map[SegmentKey]SegmentInfo{}, pending: map[SegmentKey]pendingSave{}}
 }
 
 func (s *store) load(l Listing, now time.Time) {
 	s.known, s.listed, s.epoch, s.next, s.heard = true, true, l.Epoch, l.Next, now
 	s.untold = nil
-	s.whole = l.Whole
+	s.whole = l.Complete
 	s.used, s.reserved = 0, 0
-	for _, h := range l.Whole {
+	for _, h := range l.Complete {
 		s.used += h.Tokens
 	}
 	for _, tokens := range l.Partial {
@@ -124,17 +124,17 @@
 }
 
 func (s *store) change(c Change) {
-	s.used -= s.whole[c.Part].Tokens
+	s.used -= s.whole[c.Segment].Tokens
 	if !c.Added || c.Tokens <= 0 {
-		delete(s.whole, c.Part)
+		delete(s.whole, c.Segment)
 		return
 	}
-	s.whole[c.Part] = c.Held
+	s.whole[c.Segment] = c.SegmentInfo
 	s.used += c.Tokens
-	s.settle(c.Part)
+	s.settle(c.Segment)
 }
 
-func (s *store) settle(key PartKey) {
+func (s *store) settle(key SegmentKey) {
 	if p, ok := s.pending[key]; ok {
 		s.pendingTokens -= p.tokens
 		delete(s.pending, key)
@@ -157,10 +157,10 @@
 }
 
 // holds tells whether a part is whole in the store.
-func (s *store) holds(key PartKey, tokens int) bool { return s.whole[key].Tokens >= tokens }
+func (s *store) holds(key SegmentKey, tokens int) bool { return s.whole[key].Tokens >= tokens }
 
 // maySave tells whether a part should be saved there, and counts it as underway.
-func (s *store) maySave(key PartKey, tokens int, now time.Time) bool {
+func (s *store) maySave(key SegmentKey, tokens int, now time.Time) bool {
 	if _, whole := s.whole[key]; whole {
 		return false
 	}
@@ -207,7 +207,7 @@
 }
 
 // hasRoom tells whether a part finds room, or has it already by a save underway.
-func (s *store) hasRoom(key PartKey, tokens int, now time.Time) bool {
+func (s *store) hasRoom(key SegmentKey, tokens int, now time.Time) bool {
 	if s.saving(key, now) {
 		return true
 	}
@@ -215,7 +215,7 @@
 }
 
 // saving tells whether a save of a part that this process asked for is underway.
-func (s *store) saving(key PartKey, now time.Time) bool {
+func (s *store) saving(key SegmentKey, now time.Time) bool {
 	p, ok := s.pending[key]
 	return ok && now.Sub(p.at) < pendingFor
 }
@@ -231,8 +231,8 @@
 
 // obsolete lists the parts that no engine can use any more: their salt names
 // weights below the oldest that an engine of their model still has.
-func (s *store) obsolete(oldest map[string]int64) []PartKey {
-	var out []PartKey
+func (s *store) obsolete(oldest map[string]int64) []SegmentKey {
+	var out []SegmentKey
 	for key, h := range s.whole {
 		if weights, ok := weightsOf(key.Salt); ok && weights < oldest[h.Model] {
 			out = append(out, key)
--- a/internal/coordination/contextcache/tracker.go
+++ b/internal/coordination/contextcache/tracker.go
@@ -12,31 +12,31 @@
 	"limpetwall/internal/transport/pause"
 )
 
-// Feed reads a store's contents.
-type Feed interface {
+// Client reads a store's contents.
+type Client interface {
 	List(ctx context.Context, address string) (Listing, error)
 	// Events waits for changes after since.
 	Events(ctx context.Context, address string, since int64, wait time.Duration) (Events, error)
 	// Free drops parts if the store is still in the given epoch.
-	Free(ctx context.Context, address string, epoch int64, parts []PartKey) error
+	Free(ctx context.Context, address string, epoch int64, parts []SegmentKey) error
 }
 
-// Keeper follows all stores and plans imports and saves. Safe for concurrent use.
-type Keeper struct {
-	Feed Feed
-	Log  *zap.Logger
+// Tracker follows all stores and plans imports and saves. Safe for concurrent use.
+type Tracker struct {
+	Client Client
+	Log    *zap.Logger
 	// Domain of this process.
 	Domain string
 	// Self names this process among those of its domain.
 	Self string
 	// Peers, if set, lists the others of its domain that tell what they follow, by the names
-	// that they have there; see Outgoing.
+	// that they have there; see DrainReports.
 	Peers func() []string
 	// Now is a clock that goes on while the host is suspended.
 	Now func() time.Time
-	// Started, if set, is called when an engine's events tell of a start that they had not
+	// OnEngineStart, if set, is called when an engine's events tell of a start that they had not
 	// told of before.
-	Started func(address string, born int64)
+	OnEngineStart func(address string, born int64)
 
 	mu     sync.Mutex
 	stores map[string]*store
@@ -55,13 +55,13 @@
 	endpointClock   endpointClock
 }
 
-// New returns a keeper that knows no store.
-func New(feed Feed, log *zap.Logger, domain string, now func() time.Time) *Keeper {
-	return &Keeper{Feed: feed, Log: log, Domain: domain, Now: now, stores: map[string]*store{}, engines: map[string]*store{}, changed: make(chan struct{}, 1)}
+// NewTracker returns a keeper that knows no store.
+func NewTracker(feed Client, log *zap.Logger, domain string, now func() time.Time) *Tracker {
+	return &Tracker{Client: feed, Log: log, Domain: domain, Now: now, stores: map[string]*store{}, engines: map[string]*store{}, changed: make(chan struct{}, 1)}
 }
 
 // SetStores tells which stores the configuration names.
-func (k *Keeper) SetStores(services map[string]*routes.Service) {
+func (k *Tracker) SetStores(services map[string]*routes.Service) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	next := map[string]*store{}
@@ -81,7 +81,7 @@
 }
 
 // wake tells Run that there are other stores or engines.
-func (k *Keeper) wake() {
+func (k *Tracker) wake() {
 	select {
 	case k.changed <- struct{}{}:
 	default:
@@ -104,7 +104,7 @@
 )
 
 // Run follows the stores and engines, one duty each, until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Tracker) Run(ctx context.Context) {
 	var duties sync.WaitGroup
 	defer duties.Wait()
 	running := map[string]context.CancelFunc{}
@@ -135,7 +135,7 @@
 }
 
 // followers is what each address is followed by.
-func (k *Keeper) followers() map[string]func(context.Context, string) {
+func (k *Tracker) followers() map[string]func(context.Context, string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.Now()
@@ -152,7 +152,7 @@
 	return out
 }
 
-func (k *Keeper) follow(ctx context.Context, address string) {
+func (k *Tracker) follow(ctx context.Context, address string) {
 	for ctx.Err() == nil {
 		if err := k.followOnce(ctx, address); err != nil && ctx.Err() == nil {
 			k.forget(address, err)
@@ -162,7 +162,7 @@
 }
 
 // forget stops the use of a store that does not answer: it may be restarting.
-func (k *Keeper) forget(address string, err error) {
+func (k *Tracker) forget(address string, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if s := k.stores[address]; s != nil && s.known {
@@ -173,12 +173,12 @@
 
 // followOnce follows a store's events until a call fails, from a list on if what it holds is
 // not known.
-func (k *Keeper) followOnce(ctx context.Context, address string) error {
+func (k *Tracker) followOnce(ctx context.Context, address string) error {
 	next, ok := k.goOn(address)
 	if !ok {
 		call, cancel := context.WithTimeout(ctx, listTimeout)
 		began := k.Now()
-		listing, err := k.Feed.List(call, address)
+		listing, err := k.Client.List(call, address)
 		cancel()
 		if err != nil {
 			return err
@@ -190,9 +190,9 @@
 		p.telling = k.tellsOf(address)
 		call, cancel := context.WithTimeout(ctx, p.wait()+callMargin)
 		began := k.Now()
-		events, err := k.Feed.Events(call, address, next, p.wait())
+		events, err := k.Client.Events(call, address, next, p.wait())
 		cancel()
-		if errors.Is(err, ErrTooMany) {
+		if errors.Is(err, ErrTooManyCalls) {
 			// What is known stays good for as long as it is fresh; a list would cost more.
 			p.crowded = true
 			continue
@@ -207,7 +207,7 @@
 
 // goOn is the number from which a store's events are to be followed, if what it held before
 // is known.
-func (k *Keeper) goOn(address string) (next int64, ok bool) {
+func (k *Tracker) goOn(address string) (next int64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.stores[address]
@@ -218,14 +218,14 @@
 }
 
 // tellsOf tells whether this process follows an address for its domain.
-func (k *Keeper) tellsOf(address string) bool {
+func (k *Tracker) tellsOf(address string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.telling[address]
 }
 
 // takeListing records a list as of when it was asked for.
-func (k *Keeper) takeListing(address string, l Listing, asked time.Time) (next int64, ok bool) {
+func (k *Tracker) takeListing(address string, l Listing, asked time.Time) (next int64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.stores[address]
@@ -233,12 +233,12 @@
 		return 0, false
 	}
 	s.load(l, asked)
-	k.Log.Info("context store listed", zap.String("store", address), zap.Int64("epoch", l.Epoch), zap.Int("parts", len(l.Whole)),
+	k.Log.Info("context store listed", zap.String("store", address), zap.Int64("epoch", l.Epoch), zap.Int("parts", len(l.Complete)),
 		zap.Int("tokens", s.used), zap.Int("partial", len(l.Partial)))
 	return s.next, true
 }
 
-func (k *Keeper) takeEvents(address string, e Events, asked time.Time) (next int64, ok bool) {
+func (k *Tracker) takeEvents(address string, e Events, asked time.Time) (next int64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.stores[address]
@@ -262,7 +262,7 @@
 }
 
 // takeClock takes in a reading of the endpoints' clock; k.mu is held.
-func (k *Keeper) takeClock(told int64, now time.Time) {
+func (k *Tracker) takeClock(told int64, now time.Time) {
 	k.clock, k.clockKnown = told-now.UnixMilli(), true
 	k.endpointClock.observe(told, now)
 }
@@ -270,13 +270,13 @@
 // maxFreed bounds one call; a store answers it within its listing's time.
 const maxFreed = 200
 
-// Clean frees the parts that no engine can use any more. An engine that has newer
+// FreeObsolete frees the parts that no engine can use any more. An engine that has newer
 // weights has ended all runs under older ones, so nothing reads them: it needs no
 // word with other processes, but one process is enough.
-func (k *Keeper) Clean(ctx context.Context, oldest map[string]int64) {
+func (k *Tracker) FreeObsolete(ctx context.Context, oldest map[string]int64) {
 	for address, job := range k.obsolete(oldest) {
 		call, cancel := context.WithTimeout(ctx, listTimeout)
-		err := k.Feed.Free(call, address, job.epoch, job.parts)
+		err := k.Client.Free(call, address, job.epoch, job.parts)
 		cancel()
 		k.Log.Info("obsolete context freed", zap.String("store", address), zap.Int("parts", len(job.parts)), zap.Error(err))
 	}
@@ -285,10 +285,10 @@
 // freeing is what is to be freed in one store.
 type freeing struct {
 	epoch int64
-	parts []PartKey
+	parts []SegmentKey
 }
 
-func (k *Keeper) obsolete(oldest map[string]int64) map[string]freeing {
+func (k *Tracker) obsolete(oldest map[string]int64) map[string]freeing {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	out := map[string]freeing{}
--- a/internal/coordination/contextcache/tracker_test.go
+++ b/internal/coordination/contextcache/tracker_test.go
@@ -28,16 +28,16 @@
 func (c *clock) Now() time.Time { return c.now }
 
 // keeper has two stores that were just listed, both empty.
-func keeper(t *testing.T) (*Keeper, *clock) {
+func keeper(t *testing.T) (*Tracker, *clock) {
 	c := &clock{epoch}
-	k := New(nil, zap.NewNop(), "a", c.Now)
+	k := NewTracker(nil, zap.NewNop(), "a", c.Now)
 	k.SetStores(map[string]*routes.Service{
 		"near": {Store: &routes.Store{Address: near, Domain: "a", MemoryTokens: 10_000}},
 		"far":  {Store: &routes.Store{Address: far, Domain: "b", MemoryTokens: 10_000}},
 		"llm":  {Engine: &routes.Engine{}},
 	})
 	for _, address := range []string{near, far} {
-		if _, ok := k.takeListing(address, Listing{Epoch: 7, Whole: map[PartKey]Held{}}, c.now); !ok {
+		if _, ok := k.takeListing(address, Listing{Epoch: 7, Complete: map[SegmentKey]SegmentInfo{}}, c.now); !ok {
 			t.Fatal("store is not known")
 		}
 	}
@@ -46,21 +46,21 @@
 }
 
 func added(salt, id string, tokens int) Change {
-	return Change{Added: true, Part: PartKey{salt, id}, Held: Held{Tokens: tokens, Model: "m"}}
+	return Change{Added: true, Segment: SegmentKey{salt, id}, SegmentInfo: SegmentInfo{Tokens: tokens, Model: "m"}}
 }
 
-var parts = []Part{{"p1", 500}, {"p2", 1500}}
+var parts = []Segment{{"p1", 500}, {"p2", 1500}}
 
-func (k *Keeper) mustPlan(salt string) (from, to []string, stored int) {
+func (k *Tracker) mustPlan(salt string) (from, to []string, stored int) {
 	p := k.Plan(salt, "context", parts, "", 0)
-	return p.From, p.To, p.Stored
+	return p.ImportFrom, p.SaveTo, p.StoredTokens
 }
 
 // stored is how many tokens of a prompt may be imported from stores, from its first
 // part on.
-func (k *Keeper) stored(salt string, parts []Part) int {
+func (k *Tracker) stored(salt string, parts []Segment) int {
 	tokens := 0
-	for _, i := range k.Contents(salt, parts).Imports {
+	for _, i := range k.Lookup(salt, parts).Imports {
 		if !i.Stored {
 			break
 		}
@@ -93,7 +93,7 @@
 	if from, _, stored = k.mustPlan("s.2"); from[0] != "" || stored != 0 {
 		t.Error("parts made by other weights are imported")
 	}
-	if until := k.Plan("s.1", "context", parts, "", 0).Until; until != c.now.UnixMilli()+5000+importTime.Milliseconds() {
+	if until := k.Plan("s.1", "context", parts, "", 0).ImportDeadline; until != c.now.UnixMilli()+5000+importTime.Milliseconds() {
 		t.Errorf("imports end at %d", until)
 	}
 }
@@ -122,7 +122,7 @@
 	if from, _, _ := k.mustPlan("s.1"); from[0] != "" {
 		t.Error("a part of the life before is imported")
 	}
-	k.takeListing(near, Listing{Epoch: 8, Whole: map[PartKey]Held{}, Partial: map[PartKey]int{{"s.1", "p1"}: 500}}, c.now)
+	k.takeListing(near, Listing{Epoch: 8, Complete: map[SegmentKey]SegmentInfo{}, Partial: map[SegmentKey]int{{"s.1", "p1"}: 500}}, c.now)
 	if from, _, _ := k.mustPlan("s.1"); from[0] != "" {
 		t.Error("a part that is being written is imported")
 	}
@@ -131,7 +131,7 @@
 func TestGapsAndRemovals(t *testing.T) {
 	k, c := keeper(t)
 	k.takeEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
-	k.takeEvents(near, Events{Epoch: 7, Changes: []Change{{Part: PartKey{"s.1", "p1"}}}}, c.now)
+	k.takeEvents(near, Events{Epoch: 7, Changes: []Change{{Segment: SegmentKey{"s.1", "p1"}}}}, c.now)
 	if got := k.stored("s.1", parts); got != 0 {
 		t.Errorf("%d tokens stored behind a part that is gone", got)
 	}
@@ -146,12 +146,12 @@
 // TestSavesKeepToTheRoom fills a store; what is underway counts.
 func TestSavesKeepToTheRoom(t *testing.T) {
 	s := newStore(routes.Store{MemoryTokens: 10_000})
-	s.load(Listing{Whole: map[PartKey]Held{{"s", "a"}: {Tokens: 4000}}, Partial: map[PartKey]int{{"s", "b"}: 2000}}, epoch)
-	if !s.maySave(PartKey{"s", "c"}, 3000, epoch) || s.maySave(PartKey{"s", "d"}, 3000, epoch) {
+	s.load(Listing{Complete: map[SegmentKey]SegmentInfo{{"s", "a"}: {Tokens: 4000}}, Partial: map[SegmentKey]int{{"s", "b"}: 2000}}, epoch)
+	if !s.maySave(SegmentKey{"s", "c"}, 3000, epoch) || s.maySave(SegmentKey{"s", "d"}, 3000, epoch) {
 		t.Error("the room is not counted")
 	}
 	s.expire(epoch.Add(pendingFor))
-	if !s.maySave(PartKey{"s", "d"}, 3000, epoch.Add(pendingFor)) {
+	if !s.maySave(SegmentKey{"s", "d"}, 3000, epoch.Add(pendingFor)) {
 		t.Error("a save that was lost keeps its room for ever")
 	}
 }
@@ -208,23 +208,23 @@
 
 func TestEnginesMemory(t *testing.T) {
 	c := &clock{epoch}
-	k := New(nil, zap.NewNop(), "a", c.Now)
+	k := NewTracker(nil, zap.NewNop(), "a", c.Now)
 	k.SetEngines(map[string]Engine{near: {Domain: "a"}, far: {Domain: "b"}})
-	if k.Contents("s", nil).Informed {
+	if k.Lookup("s", nil).EnginesKnown {
 		t.Error("informed before any word")
 	}
 	k.takeEngineEvents(near, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500), added("s", "p2", 1500)}})
 	k.takeEngineEvents(far, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p2", 1500)}})
-	resident := k.Contents("s", parts).Resident
-	if !k.Contents("s", nil).Informed || len(resident) != 1 || resident[0] != (Resident{near, 2000, 2}) {
+	resident := k.Lookup("s", parts).Resident
+	if !k.Lookup("s", nil).EnginesKnown || len(resident) != 1 || resident[0] != (ResidentPrefix{near, 2000, 2}) {
 		t.Errorf("%+v", resident)
 	}
 	k.takeEngineEvents(near, Events{Epoch: 2, Next: 1})
-	if len(k.Contents("s", parts).Resident) != 0 {
+	if len(k.Lookup("s", parts).Resident) != 0 {
 		t.Error("a restarted engine still keeps what it had")
 	}
 	c.now = c.now.Add(2 * engineFresh)
-	if k.Contents("s", nil).Informed {
+	if k.Lookup("s", nil).EnginesKnown {
 		t.Error("informed by old words")
 	}
 }
@@ -235,7 +235,7 @@
 	epoch int64
 	down  bool
 	lists int
-	freed []PartKey
+	freed []SegmentKey
 }
 
 func (f *fakeStoreFeed) List(context.Context, string) (Listing, error) {
@@ -245,7 +245,7 @@
 	if f.down {
 		return Listing{}, errors.New("down")
 	}
-	return Listing{Epoch: f.epoch, Whole: map[PartKey]Held{{"s", "p1"}: {Tokens: 500, Model: "m"}}}, nil
+	return Listing{Epoch: f.epoch, Complete: map[SegmentKey]SegmentInfo{{"s", "p1"}: {Tokens: 500, Model: "m"}}}, nil
 }
 
 func (f *fakeStoreFeed) Events(ctx context.Context, _ string, since int64, wait time.Duration) (Events, error) {
@@ -260,7 +260,7 @@
 	return Events{Epoch: f.epoch, Next: since, ClockMS: 1}, nil
 }
 
-func (f *fakeStoreFeed) Free(_ context.Context, _ string, _ int64, parts []PartKey) error {
+func (f *fakeStoreFeed) Free(_ context.Context, _ string, _ int64, parts []SegmentKey) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.freed = append(f.freed, parts...)
@@ -273,10 +273,10 @@
 // engines of this domain tell is enough to decide by.
 func TestEnginesThatHoldTooManyCalls(t *testing.T) {
 	c := &clock{epoch}
-	k := New(nil, zap.NewNop(), "a", c.Now)
+	k := NewTracker(nil, zap.NewNop(), "a", c.Now)
 	k.SetEngines(map[string]Engine{near: {Domain: "a"}, far: {Domain: "b"}, "10.0.0.3:1": {Domain: "b"}})
 	k.takeEngineEvents(near, Events{Epoch: 1, Next: 5})
-	if !k.Contents("s", nil).Informed {
+	if !k.Lookup("s", nil).EnginesKnown {
 		t.Error("not informed though its own domain's engine is known")
 	}
 	rows := []struct {
@@ -284,18 +284,18 @@
 		err     error
 		want    time.Duration
 	}{
-		{far, ErrTooMany, farPause}, {far, errors.New("reset"), enginePause}, {near, ErrTooMany, 0}, {"gone", ErrTooMany, enginePause},
+		{far, ErrTooManyCalls, farPause}, {far, errors.New("reset"), enginePause}, {near, ErrTooManyCalls, 0}, {"gone", ErrTooManyCalls, enginePause},
 	}
 	for _, row := range rows {
 		if got := k.afterFailure(row.address, row.err); got != row.want {
 			t.Errorf("%s after %v: %s", row.address, row.err, got)
 		}
 	}
-	if !k.Contents("s", nil).Informed {
+	if !k.Lookup("s", nil).EnginesKnown {
 		t.Error("what an engine told is forgotten because it holds too many calls")
 	}
 	c.now = c.now.Add(2 * engineFresh)
-	if k.Contents("s", nil).Informed {
+	if k.Lookup("s", nil).EnginesKnown {
 		t.Error("informed by an engine that refuses for long")
 	}
 }
@@ -303,15 +303,15 @@
 // TestEventsGoOnAfterAFailedCall loses one call; the engine lives on.
 func TestEventsGoOnAfterAFailedCall(t *testing.T) {
 	c := &clock{epoch}
-	k := New(nil, zap.NewNop(), "a", c.Now)
+	k := NewTracker(nil, zap.NewNop(), "a", c.Now)
 	k.SetEngines(map[string]Engine{near: {Domain: "a"}})
 	k.takeEngineEvents(near, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500)}})
 	k.afterFailure(near, errors.New("reset"))
-	if len(k.Contents("s", parts).Resident) != 0 {
+	if len(k.Lookup("s", parts).Resident) != 0 {
 		t.Error("used while it does not answer")
 	}
 	k.takeEngineEvents(near, Events{Epoch: 1, Next: 6, Changes: []Change{added("s", "p2", 1500)}})
-	if r := k.Contents("s", parts).Resident; len(r) != 1 || r[0].Parts != 2 {
+	if r := k.Lookup("s", parts).Resident; len(r) != 1 || r[0].Segments != 2 {
 		t.Errorf("what was known before the failure is lost: %+v", r)
 	}
 }
@@ -330,7 +330,7 @@
 		{12, 12, 0, "a"}, {54, 18, fromNow, "a"}, {54, 54, fromNow, "a domain without engines"},
 	}
 	for _, row := range rows {
-		k := New(nil, zap.NewNop(), row.own, time.Now)
+		k := NewTracker(nil, zap.NewNop(), row.own, time.Now)
 		engines := map[string]Engine{}
 		for i := range row.engines {
 			engines[fmt.Sprintf("10.0.0.%d:1", i)] = Engine{Domain: string(rune('a' + i%3))}
@@ -349,7 +349,7 @@
 func TestVeryLargeFleetIsFollowedInParts(t *testing.T) {
 	const count = 600
 	followed := func(self string, without int) map[string]bool {
-		k := New(nil, zap.NewNop(), "a", time.Now)
+		k := NewTracker(nil, zap.NewNop(), "a", time.Now)
 		k.Self = self
 		engines := map[string]Engine{}
 		for i := range count {
@@ -392,14 +392,14 @@
 	k.SetEngines(map[string]Engine{target: {Domain: "a", TokenBytes: 1000, LinkBytesPerSecond: 1_000_000}, other: {Domain: "b", LinkBytesPerSecond: 1_000_000}})
 	k.takeEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p2", 1500)}}, c.now)
 	k.takeEngineEvents(target, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
-	if p := k.Plan("s.1", "context", parts, target, 0); p.From[0] != "" || p.From[1] != near {
-		t.Errorf("%q", p.From)
+	if p := k.Plan("s.1", "context", parts, target, 0); p.ImportFrom[0] != "" || p.ImportFrom[1] != near {
+		t.Errorf("%q", p.ImportFrom)
 	}
 	k.takeEngineEvents(other, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}})
-	if p := k.Plan("s.1", "context", parts, target, 0); p.From[0] != other || p.From[1] != other {
-		t.Errorf("%q", p.From)
+	if p := k.Plan("s.1", "context", parts, target, 0); p.ImportFrom[0] != other || p.ImportFrom[1] != other {
+		t.Errorf("%q", p.ImportFrom)
 	}
-	imports := k.Contents("s.1", parts).Imports
+	imports := k.Lookup("s.1", parts).Imports
 	if len(imports) != 2 || !imports[1].Stored || imports[1].Domain != "b" || imports[1].TransferTime != 1500*time.Millisecond {
 		t.Errorf("%+v", imports)
 	}
@@ -417,12 +417,12 @@
 	k.SetEngines(map[string]Engine{target: {Domain: "a"}, other: {Domain: "a"}})
 	k.takeEngineEvents(target, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
 	k.takeEngineEvents(other, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
-	if p := k.Plan("s.1", "context", parts, target, 0); p.From[0] != other || p.From[1] != "" {
-		t.Errorf("held by another engine only: %q", p.From)
+	if p := k.Plan("s.1", "context", parts, target, 0); p.ImportFrom[0] != other || p.ImportFrom[1] != "" {
+		t.Errorf("held by another engine only: %q", p.ImportFrom)
 	}
 	k.takeEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
-	if p := k.Plan("s.1", "context", parts, target, 0); p.From[0] != near || p.From[1] != near {
-		t.Errorf("held by a store, which loses nothing by itself: %q", p.From)
+	if p := k.Plan("s.1", "context", parts, target, 0); p.ImportFrom[0] != near || p.ImportFrom[1] != near {
+		t.Errorf("held by a store, which loses nothing by itself: %q", p.ImportFrom)
 	}
 }
 
@@ -431,9 +431,9 @@
 	k, c := keeper(t)
 	k.takeEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "other", 9_600)}}, c.now)
 	for i := range 8 {
-		p := k.Plan("s.1", fmt.Sprint("context ", i), []Part{{fmt.Sprint("p", i), 1000}}, "", 0)
-		if p.To[0] != far {
-			t.Errorf("context %d goes to %q", i, p.To[0])
+		p := k.Plan("s.1", fmt.Sprint("context ", i), []Segment{{fmt.Sprint("p", i), 1000}}, "", 0)
+		if p.SaveTo[0] != far {
+			t.Errorf("context %d goes to %q", i, p.SaveTo[0])
 		}
 	}
 }
@@ -449,7 +449,7 @@
 		0:                      importTime,
 	} {
 		k, c := keeper(t)
-		if until := k.Plan("s.1", "context", parts, "", objective).Until; until != c.now.Add(5*time.Second+want).UnixMilli() {
+		if until := k.Plan("s.1", "context", parts, "", objective).ImportDeadline; until != c.now.Add(5*time.Second+want).UnixMilli() {
 			t.Errorf("objective %s: until %d", objective, until)
 		}
 	}
--- a/internal/coordination/contexttransfer/events.go
+++ b/internal/coordination/contexttransfer/events.go
@@ -14,8 +14,8 @@
 func isMissing(err error) bool { return errors.Is(err, kvstore.ErrNotFound) }
 func isFull(err error) bool    { return errors.Is(err, kvstore.ErrFull) }
 
-// EventsDuty follows the engine's cache events.
-func (m *Mover) EventsDuty(ctx context.Context, every time.Duration) {
+// FollowEvents follows the engine's cache events.
+func (m *Mover) FollowEvents(ctx context.Context, every time.Duration) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	after := uint64(0)
@@ -39,23 +39,23 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if stored {
-		m.resident.Stored(key, time.Now())
+		m.resident.MarkStored(key, time.Now())
 		return
 	}
-	m.resident.Evicted(key)
+	m.resident.MarkEvicted(key)
 }
 
 func (m *Mover) used(keys ...contextkey.Key) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, key := range keys {
-		m.resident.Used(key, time.Now())
+		m.resident.MarkUsed(key, time.Now())
 	}
 }
 
-// ForgetResident is told when the engine swapped its weights: nothing that was
+// ClearResidency is told when the engine swapped its weights: nothing that was
 // resident can be used any more.
-func (m *Mover) ForgetResident() {
+func (m *Mover) ClearResidency() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.resident.Clear()
@@ -64,7 +64,7 @@
 func (m *Mover) residentPieces(keys []contextkey.Key) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.resident.Resident(keys)
+	return m.resident.ResidentPrefix(keys)
 }
 
 // returns learns how often contexts come back. Two generations bound its memory.
--- a/internal/coordination/contexttransfer/mover.go
+++ b/internal/coordination/contexttransfer/mover.go
@@ -68,8 +68,8 @@
 	return func(url string) kvstore.Store { return kvstore.NewClient(url, client) }
 }
 
-// New returns a mover for an engine. agents tells how many share the links.
-func New(eng engine.Engine, open OpenStore, store *config.Store, agents func() int, logger *zap.Logger, registry metrics.Registry) *Mover {
+// NewMover returns a mover for an engine. agents tells how many share the links.
+func NewMover(eng engine.Engine, open OpenStore, store *config.Store, agents func() int, logger *zap.Logger, registry metrics.Registry) *Mover {
 	return &Mover{
 		engine: eng, open: open, config: store, agents: agents, zap: logger, metrics: registry,
 		exports: ring.New[export](exportQueue), links: map[string]*remote{}, resident: NewResidency(),
@@ -91,7 +91,7 @@
 
 // remotes returns a piece's stores, best first.
 func (m *Mover) remotes(piece contextkey.Key, copies int) []*remote {
-	hosts := Stores(m.config.View().StoreHosts, piece, copies)
+	hosts := RankStores(m.config.View().StoreHosts, piece, copies)
 	out := make([]*remote, 0, len(hosts))
 	for _, h := range hosts {
 		out = append(out, m.remoteOf(h))
@@ -114,22 +114,22 @@
 
 // Prompt describes a run whose context may be moved.
 type Prompt struct {
-	Customer  *config.Customer
-	Service   *config.Service
-	Keys      []contextkey.Key
-	Status    engine.Status
-	Waiting   int
-	RequestID string
+	Customer     *config.Customer
+	Service      *config.Service
+	Keys         []contextkey.Key
+	Status       engine.Status
+	QueuedTokens int
+	RequestID    string
 }
 
-// Prepare imports what is worth importing before a run, and returns the number
+// ImportContext imports what is worth importing before a run, and returns the number
 // of tokens it brought. Whatever fails is recomputed by the engine.
-func (m *Mover) Prepare(ctx context.Context, p Prompt) int {
+func (m *Mover) ImportContext(ctx context.Context, p Prompt) int {
 	if len(p.Keys) == 0 {
 		return 0
 	}
 	m.returns.saw(p.Keys[0])
-	plan := Decide(m.source(p, m.residentPieces(p.Keys)))
+	plan := PlanImport(m.source(p, m.residentPieces(p.Keys)))
 	imported := 0
 	for _, key := range p.Keys[plan.From:plan.To] {
 		found := m.importPiece(ctx, p, key)
@@ -145,11 +145,11 @@
 
 // source describes the choice for a prompt; the links of all its missing pieces
 // count together.
-func (m *Mover) source(p Prompt, resident int) Source {
+func (m *Mover) source(p Prompt, resident int) ImportInput {
 	now := time.Now()
-	s := Source{
-		Pieces: len(p.Keys), Resident: resident, StoredChance: m.storedChance(p.Keys[resident:]),
-		PieceBytes: p.Status.PieceBytes, PrefillRate: p.Status.PrefillRate, PrefillTokens: p.Waiting, Objective: p.Service.Objective,
+	s := ImportInput{
+		Chunks: len(p.Keys), Resident: resident, StoredProbability: m.storedChance(p.Keys[resident:]),
+		ChunkBytes: p.Status.PieceBytes, PrefillRate: p.Status.PrefillRate, PrefillTokens: p.QueuedTokens, Objective: p.Service.Objective,
 	}
 	missing := p.Keys[resident:]
 	for _, key := range missing {
@@ -244,8 +244,8 @@
 	return true
 }
 
-// Ran tells that an engine has now computed a context, which may be worth a copy.
-func (m *Mover) Ran(p Prompt) {
+// RecordComputed tells that an engine has now computed a context, which may be worth a copy.
+func (m *Mover) RecordComputed(p Prompt) {
 	if len(p.Keys) == 0 {
 		return
 	}
@@ -255,8 +255,8 @@
 	if len(remotes) == 0 || len(missing) == 0 {
 		return
 	}
-	worth := Worth(Copy{
-		ReturnChance: m.returns.rate(), PieceBytes: p.Status.PieceBytes, PrefillRate: p.Status.PrefillRate,
+	worth := BenefitRatio(CopyCandidate{
+		ReturnProbability: m.returns.rate(), ChunkBytes: p.Status.PieceBytes, PrefillRate: p.Status.PrefillRate,
 		Objective: p.Service.Objective, LinkRate: remotes[0].link.Rate(time.Now()),
 	})
 	if worth >= 1 {
@@ -276,8 +276,8 @@
 	return out
 }
 
-// ExportDuty copies contexts to their stores until ctx ends.
-func (m *Mover) ExportDuty(ctx context.Context) {
+// RunExports copies contexts to their stores until ctx ends.
+func (m *Mover) RunExports(ctx context.Context) {
 	for {
 		e, err := m.exports.Pop(ctx)
 		if err != nil {
--- a/internal/coordination/contexttransfer/placement.go
+++ b/internal/coordination/contexttransfer/placement.go
@@ -10,12 +10,12 @@
 	"limpetwall/internal/state/contextkey"
 )
 
-// Stores ranks the stores for a piece of context, best first, by rendezvous
+// RankStores ranks the stores for a piece of context, best first, by rendezvous
 // hashing of its key. No table of 3.1 million contexts is needed, every process
 // computes the same answer, and a lost store moves only its own pieces. The
 // pieces of one context lie on several stores, so that a long one uses several
 // links, and a prefix that many contexts share does not draw them all to one.
-func Stores(stores []*config.StoreHost, piece contextkey.Key, copies int) []*config.StoreHost {
+func RankStores(stores []*config.StoreHost, piece contextkey.Key, copies int) []*config.StoreHost {
 	ranked := append([]*config.StoreHost(nil), stores...)
 	sort.Slice(ranked, func(i, j int) bool {
 		return storeScore(ranked[i].ID, piece) > storeScore(ranked[j].ID, piece)
--- a/internal/coordination/contexttransfer/plan.go
+++ b/internal/coordination/contexttransfer/plan.go
@@ -10,14 +10,14 @@
 	"limpetwall/internal/state/contextkey"
 )
 
-// Source is one decision's input. Pieces are counted from the context's start.
-type Source struct {
-	// Pieces of the context in all; the first Resident are in the engine.
-	Pieces, Resident int
-	// StoredChance that the next pieces are on the store, 0 to 1.
-	StoredChance float64
-	// PieceBytes on the link, and the link's rate now, in bytes a second.
-	PieceBytes int64
+// ImportInput is one decision's input. Pieces are counted from the context's start.
+type ImportInput struct {
+	// Chunks of the context in all; the first Resident are in the engine.
+	Chunks, Resident int
+	// StoredProbability that the next pieces are on the store, 0 to 1.
+	StoredProbability float64
+	// ChunkBytes on the link, and the link's rate now, in bytes a second.
+	ChunkBytes int64
 	LinkRate   float64
 	// LinkBacklog is what waits on the link before this transfer, in bytes.
 	LinkBacklog int64
@@ -34,28 +34,28 @@
 	Cost, CostRecompute float64
 }
 
-// Import tells whether the plan imports anything.
-func (p Plan) Import() bool { return p.To > p.From }
+// HasImport tells whether the plan imports anything.
+func (p Plan) HasImport() bool { return p.To > p.From }
 
 // assumedPrefillRate stands in for an engine that reports none, tokens a second.
 const assumedPrefillRate = 8000
 
-// Decide chooses how many of the missing pieces to import. An import must end
+// PlanImport chooses how many of the missing pieces to import. An import must end
 // before the prefill of what follows it begins, but it runs while the engine
 // works off what waits before this prompt: that time is free.
 //
 // The cost of importing n pieces falls and rises linearly in parts, with one
 // bend where the transfer outlasts the engine's queue; so the best n is at an
 // end or at the bend, and three candidates are enough.
-func Decide(s Source) Plan {
-	missing := s.Pieces - s.Resident
+func PlanImport(s ImportInput) Plan {
+	missing := s.Chunks - s.Resident
 	all := s.cost(0)
 	best := Plan{From: s.Resident, To: s.Resident, Cost: all, CostRecompute: all}
-	if missing <= 0 || s.LinkRate <= 0 || s.PieceBytes <= 0 || s.StoredChance <= 0 {
+	if missing <= 0 || s.LinkRate <= 0 || s.ChunkBytes <= 0 || s.StoredProbability <= 0 {
 		return best
 	}
 	free := s.queueTime() - time.Duration(float64(s.LinkBacklog)/s.LinkRate*float64(time.Second))
-	bend := int(free.Seconds() * s.LinkRate / float64(s.PieceBytes))
+	bend := int(free.Seconds() * s.LinkRate / float64(s.ChunkBytes))
 	for _, n := range [...]int{min(missing, max(0, bend)), min(missing, max(0, bend)+1), missing} {
 		if cost := s.cost(n); cost < best.Cost {
 			best.To, best.Cost = s.Resident+n, cost
@@ -64,23 +64,23 @@
 	return best
 }
 
-func (s Source) rate() float64 {
+func (s ImportInput) rate() float64 {
 	if s.PrefillRate > 0 {
 		return float64(s.PrefillRate)
 	}
 	return assumedPrefillRate
 }
 
-func (s Source) queueTime() time.Duration {
+func (s ImportInput) queueTime() time.Duration {
 	return time.Duration(float64(s.PrefillTokens) / s.rate() * float64(time.Second))
 }
 
 // cost of importing n pieces: the chance that they are not there is paid as
 // recomputing them after a failed look-up.
-func (s Source) cost(n int) float64 {
-	hit := float64(n) * s.StoredChance
-	recomputed := (float64(s.Pieces-s.Resident) - hit) * contextkey.PieceTokens
-	bytes := hit * float64(s.PieceBytes)
+func (s ImportInput) cost(n int) float64 {
+	hit := float64(n) * s.StoredProbability
+	recomputed := (float64(s.Chunks-s.Resident) - hit) * contextkey.PieceTokens
+	bytes := hit * float64(s.ChunkBytes)
 	transfer := 0.0
 	if n > 0 {
 		transfer = (float64(s.LinkBacklog) + bytes) / s.LinkRate
@@ -90,26 +90,26 @@
 	return s.Objective.WeightTTFT*ttft + s.Objective.WeightRecompute*recomputed/1000 + s.Objective.WeightLink*moved/1000
 }
 
-// Copy describes a context that could be copied to a store.
-type Copy struct {
-	// ReturnChance that the context comes back after it left the engine.
-	ReturnChance float64
-	PieceBytes   int64
-	PrefillRate  int
-	Objective    config.Objective
+// CopyCandidate describes a context that could be copied to a store.
+type CopyCandidate struct {
+	// ReturnProbability that the context comes back after it left the engine.
+	ReturnProbability float64
+	ChunkBytes        int64
+	PrefillRate       int
+	Objective         config.Objective
 	// LinkRate is the rate that uploads may use, in bytes a second.
 	LinkRate float64
 }
 
-// Worth is the gain of copying one piece per unit of its cost: above 1 the copy
+// BenefitRatio is the gain of copying one piece per unit of its cost: above 1 the copy
 // pays. The gain is the recomputation saved when the context returns, less the
 // way back over the link; the cost is the link's time and use now.
-func Worth(c Copy) float64 {
-	if c.LinkRate <= 0 || c.PieceBytes <= 0 {
+func BenefitRatio(c CopyCandidate) float64 {
+	if c.LinkRate <= 0 || c.ChunkBytes <= 0 {
 		return 0
 	}
-	s := Source{PrefillRate: c.PrefillRate}
-	seconds := float64(c.PieceBytes) / c.LinkRate
+	s := ImportInput{PrefillRate: c.PrefillRate}
+	seconds := float64(c.ChunkBytes) / c.LinkRate
 	recompute := c.Objective.WeightTTFT*contextkey.PieceTokens/s.rate() + c.Objective.WeightRecompute*contextkey.PieceTokens/1000
 	link := c.Objective.WeightLink * contextkey.PieceTokens / 1000
 	back := c.Objective.WeightTTFT*seconds + link
@@ -119,5 +119,5 @@
 	if cost <= 0 {
 		cost = 1e-9
 	}
-	return c.ReturnChance * max(0, recompute-back) / cost
+	return c.ReturnProbability * max(0, recompute-back) / cost
 }
--- a/internal/coordination/contexttransfer/residency.go
+++ b/internal/coordination/contexttransfer/residency.go
@@ -27,8 +27,8 @@
 	return &Residency{lastUsed: map[contextkey.Key]time.Time{}}
 }
 
-// Used tells that a run has used a piece, or that it was brought in.
-func (r *Residency) Used(key contextkey.Key, now time.Time) {
+// MarkUsed tells that a run has used a piece, or that it was brought in.
+func (r *Residency) MarkUsed(key contextkey.Key, now time.Time) {
 	if len(r.lastUsed) >= residentKept {
 		r.dropGone()
 	}
@@ -47,15 +47,15 @@
 	}
 }
 
-// Stored tells of an event that a piece entered memory.
-func (r *Residency) Stored(key contextkey.Key, now time.Time) {
+// MarkStored tells of an event that a piece entered memory.
+func (r *Residency) MarkStored(key contextkey.Key, now time.Time) {
 	if _, known := r.lastUsed[key]; !known {
-		r.Used(key, now)
+		r.MarkUsed(key, now)
 	}
 }
 
-// Evicted tells that a piece has left memory.
-func (r *Residency) Evicted(key contextkey.Key) {
+// MarkEvicted tells that a piece has left memory.
+func (r *Residency) MarkEvicted(key contextkey.Key) {
 	at, known := r.lastUsed[key]
 	if !known {
 		return
@@ -69,9 +69,9 @@
 // Clear forgets everything, after a swap of weights.
 func (r *Residency) Clear() { clear(r.lastUsed) }
 
-// Resident is the number of pieces of a context, from its start, that are
+// ResidentPrefix is the number of pieces of a context, from its start, that are
 // probably resident.
-func (r *Residency) Resident(keys []contextkey.Key) int {
+func (r *Residency) ResidentPrefix(keys []contextkey.Key) int {
 	for i, key := range keys {
 		if at, known := r.lastUsed[key]; !known || !at.After(r.gone) {
 			return i
--- a/internal/coordination/contexttransfer/transfer_test.go
+++ b/internal/coordination/contexttransfer/transfer_test.go
@@ -30,36 +30,36 @@
 )
 
 func TestDecide(t *testing.T) {
-	base := contexttransfer.Source{
-		Pieces: 10, StoredChance: 1, PieceBytes: 100 << 20, LinkRate: 1 << 30, PrefillRate: 8000, Objective: ttftOnly,
+	base := contexttransfer.ImportInput{
+		Chunks: 10, StoredProbability: 1, ChunkBytes: 100 << 20, LinkRate: 1 << 30, PrefillRate: 8000, Objective: ttftOnly,
 	}
 	rows := []struct {
 		name   string
-		change func(s *contexttransfer.Source)
+		change func(s *contexttransfer.ImportInput)
 		// want is the number of pieces imported; -1 means some but not all.
 		want int
 	}{
-		{"a fast link imports all", func(*contexttransfer.Source) {}, 10},
-		{"what is resident is not moved", func(s *contexttransfer.Source) { s.Resident = 7 }, 3},
-		{"nothing is missing", func(s *contexttransfer.Source) { s.Resident = 10 }, 0},
-		{"nothing is stored", func(s *contexttransfer.Source) { s.StoredChance = 0 }, 0},
-		{"the store is suspended", func(s *contexttransfer.Source) { s.LinkRate = 0 }, 0},
-		{"a link slower than the prefill moves nothing", func(s *contexttransfer.Source) { s.LinkRate = 100 << 20; s.PrefillRate = 20000 }, 0},
-		{"a slow link fills the engine's queue time only", func(s *contexttransfer.Source) {
+		{"a fast link imports all", func(*contexttransfer.ImportInput) {}, 10},
+		{"what is resident is not moved", func(s *contexttransfer.ImportInput) { s.Resident = 7 }, 3},
+		{"nothing is missing", func(s *contexttransfer.ImportInput) { s.Resident = 10 }, 0},
+		{"nothing is stored", func(s *contexttransfer.ImportInput) { s.StoredProbability = 0 }, 0},
+		{"the store is suspended", func(s *contexttransfer.ImportInput) { s.LinkRate = 0 }, 0},
+		{"a link slower than the prefill moves nothing", func(s *contexttransfer.ImportInput) { s.LinkRate = 100 << 20; s.PrefillRate = 20000 }, 0},
+		{"a slow link fills the engine's queue time only", func(s *contexttransfer.ImportInput) {
 			s.LinkRate, s.PrefillRate, s.PrefillTokens = 100<<20, 20000, 80000
 		}, 4},
-		{"a backlog on the link takes the free time away", func(s *contexttransfer.Source) {
+		{"a backlog on the link takes the free time away", func(s *contexttransfer.ImportInput) {
 			s.LinkRate, s.PrefillRate, s.PrefillTokens, s.LinkBacklog = 100<<20, 20000, 80000, 400<<20
 		}, 0},
-		{"who minds recomputing imports over a slow link", func(s *contexttransfer.Source) {
+		{"who minds recomputing imports over a slow link", func(s *contexttransfer.ImportInput) {
 			s.LinkRate, s.PrefillRate, s.Objective = 100<<20, 20000, recompute
 		}, 10},
-		{"who minds link use recomputes beside a fast link", func(s *contexttransfer.Source) { s.Objective = link }, 0},
+		{"who minds link use recomputes beside a fast link", func(s *contexttransfer.ImportInput) { s.Objective = link }, 0},
 	}
 	for _, row := range rows {
 		s := base
 		row.change(&s)
-		p := contexttransfer.Decide(s)
+		p := contexttransfer.PlanImport(s)
 		if got := p.To - p.From; got != row.want || p.From != s.Resident || p.Cost > p.CostRecompute {
 			t.Errorf("%s: %+v, want %d pieces", row.name, p, row.want)
 		}
@@ -70,14 +70,14 @@
 func FuzzDecideIsBest(f *testing.F) {
 	f.Add(uint8(10), uint8(0), uint32(8000), uint32(80000), uint32(100), uint32(0), uint8(1), uint8(1), uint8(1))
 	f.Fuzz(func(t *testing.T, pieces, resident uint8, rate, waiting, linkMB, backlogMB uint32, a, b, c uint8) {
-		s := contexttransfer.Source{
-			Pieces: int(pieces % 40), StoredChance: 1, PieceBytes: 100 << 20, LinkRate: float64(linkMB%5000) * (1 << 20),
+		s := contexttransfer.ImportInput{
+			Chunks: int(pieces % 40), StoredProbability: 1, ChunkBytes: 100 << 20, LinkRate: float64(linkMB%5000) * (1 << 20),
 			LinkBacklog: int64(backlogMB%2000) << 20, PrefillRate: int(rate % 100_000), PrefillTokens: int(waiting % 1_000_000),
 			Objective: config.Objective{WeightTTFT: float64(a), WeightRecompute: float64(b) / 100, WeightLink: float64(c) / 100},
 		}
-		s.Resident = min(int(resident), s.Pieces)
-		p := contexttransfer.Decide(s)
-		if p.From != s.Resident || p.To < p.From || p.To > max(s.Pieces, s.Resident) {
+		s.Resident = min(int(resident), s.Chunks)
+		p := contexttransfer.PlanImport(s)
+		if p.From != s.Resident || p.To < p.From || p.To > max(s.Chunks, s.Resident) {
 			t.Fatalf("%+v of %+v", p, s)
 		}
 		if p.Cost > p.CostRecompute {
@@ -87,20 +87,20 @@
 }
 
 func TestWorth(t *testing.T) {
-	c := contexttransfer.Copy{ReturnChance: 0.8, PieceBytes: 100 << 20, PrefillRate: 8000, Objective: ttftOnly, LinkRate: 1 << 30}
-	if contexttransfer.Worth(c) < 1 {
-		t.Errorf("a likely return over a fast link: %g", contexttransfer.Worth(c))
+	c := contexttransfer.CopyCandidate{ReturnProbability: 0.8, ChunkBytes: 100 << 20, PrefillRate: 8000, Objective: ttftOnly, LinkRate: 1 << 30}
+	if contexttransfer.BenefitRatio(c) < 1 {
+		t.Errorf("a likely return over a fast link: %g", contexttransfer.BenefitRatio(c))
 	}
-	for name, change := range map[string]func(*contexttransfer.Copy){
-		"never returns":  func(c *contexttransfer.Copy) { c.ReturnChance = 0 },
-		"link too slow":  func(c *contexttransfer.Copy) { c.LinkRate = 100 << 20 },
-		"link suspended": func(c *contexttransfer.Copy) { c.LinkRate = 0 },
-		"link is dear":   func(c *contexttransfer.Copy) { c.Objective = link },
+	for name, change := range map[string]func(*contexttransfer.CopyCandidate){
+		"never returns":  func(c *contexttransfer.CopyCandidate) { c.ReturnProbability = 0 },
+		"link too slow":  func(c *contexttransfer.CopyCandidate) { c.LinkRate = 100 << 20 },
+		"link suspended": func(c *contexttransfer.CopyCandidate) { c.LinkRate = 0 },
+		"link is dear":   func(c *contexttransfer.CopyCandidate) { c.Objective = link },
 	} {
 		x := c
 		change(&x)
-		if contexttransfer.Worth(x) >= 1 {
-			t.Errorf("%s: %g", name, contexttransfer.Worth(x))
+		if contexttransfer.BenefitRatio(x) >= 1 {
+			t.Errorf("%s: %g", name, contexttransfer.BenefitRatio(x))
 		}
 	}
 }
@@ -116,11 +116,11 @@
 	const contexts = 600
 	for n := range contexts {
 		root := contextkey.Key{byte(n), byte(n >> 8)}
-		two := contexttransfer.Stores(stores, root, 2)
+		two := contexttransfer.RankStores(stores, root, 2)
 		if two[0].Domain == two[1].Domain {
 			t.Fatalf("both copies in %s", two[0].Domain)
 		}
-		without := contexttransfer.Stores(stores[1:], root, 1)
+		without := contexttransfer.RankStores(stores[1:], root, 1)
 		if two[0] == stores[0] {
 			mine++
 		} else if without[0] != two[0] {
@@ -130,7 +130,7 @@
 	if moved != 0 || mine < contexts/12 || mine > contexts/3 {
 		t.Errorf("%d contexts of the lost store, %d others moved", mine, moved)
 	}
-	if got := contexttransfer.Stores(stores[:1], contextkey.Key{}, 2); len(got) != 1 {
+	if got := contexttransfer.RankStores(stores[:1], contextkey.Key{}, 2); len(got) != 1 {
 		t.Errorf("%d stores of one", len(got))
 	}
 }
@@ -145,21 +145,21 @@
 	var keys []contextkey.Key
 	for i := range 10 {
 		keys = append(keys, contextkey.Key{byte(i)})
-		r.Used(keys[i], now.Add(time.Duration(i)*time.Second))
+		r.MarkUsed(keys[i], now.Add(time.Duration(i)*time.Second))
 	}
-	r.Evicted(keys[4])
+	r.MarkEvicted(keys[4])
 	for i, key := range keys {
-		if got := r.Resident([]contextkey.Key{key}) == 1; got != (i > 4) {
+		if got := r.ResidentPrefix([]contextkey.Key{key}) == 1; got != (i > 4) {
 			t.Errorf("piece %d: resident %v", i, got)
 		}
 	}
-	r.Used(keys[0], now.Add(time.Minute))
-	if r.Resident(keys[:1]) != 1 {
+	r.MarkUsed(keys[0], now.Add(time.Minute))
+	if r.ResidentPrefix(keys[:1]) != 1 {
 		t.Error("a piece that was used again is not resident")
 	}
-	r.Stored(keys[1], now.Add(time.Minute))
+	r.MarkStored(keys[1], now.Add(time.Minute))
 	r.Clear()
-	if r.Resident(keys[9:]) != 0 {
+	if r.ResidentPrefix(keys[9:]) != 0 {
 		t.Error("resident after a swap")
 	}
 }
@@ -268,11 +268,11 @@
 			t: t, store: kvstandin.New(1 << 30), metrics: metrics.NewRegistry(), view: store.View(),
 			engine: enginestandin.New(enginestandin.Config{Model: modelName, WeightVersion: version, Slots: 4, MaxQueue: 4, CacheBlocks: 4, PieceBytes: 1000}),
 		}
-		b.mover = contexttransfer.New(b.engine, func(string) kvstore.Store { return b.store }, store, func() int { return 1 }, zap.NewNop(), b.metrics)
+		b.mover = contexttransfer.NewMover(b.engine, func(string) kvstore.Store { return b.store }, store, func() int { return 1 }, zap.NewNop(), b.metrics)
 		ctx, cancel := context.WithCancel(context.Background())
 		var group sync.WaitGroup
-		group.Go(func() { b.mover.ExportDuty(ctx) })
-		group.Go(func() { b.mover.EventsDuty(ctx, 100*time.Millisecond) })
+		group.Go(func() { b.mover.RunExports(ctx) })
+		group.Go(func() { b.mover.FollowEvents(ctx, 100*time.Millisecond) })
 		test(b)
 		cancel()
 		group.Wait()
@@ -288,7 +288,7 @@
 	keys := contextkey.Chain(contextkey.Scope{Salt: c.Salt, Model: modelName, WeightVersion: version}, text)
 	status, _ := b.engine.Status(b.t.Context())
 	p := contexttransfer.Prompt{Customer: c, Service: b.view.Services["s"], Keys: keys, Status: status, RequestID: fmt.Sprint(b.runs)}
-	imported = b.mover.Prepare(b.t.Context(), p)
+	imported = b.mover.ImportContext(b.t.Context(), p)
 	stream, err := b.engine.Generate(b.t.Context(), engine.Request{
 		RequestID: p.RequestID, Model: modelName, WeightVersion: version, Text: text, Blocks: keys, MaxTokens: 8,
 	})
@@ -302,7 +302,7 @@
 			b.t.Fatal(err)
 		}
 		if e.Started != nil {
-			b.mover.Ran(p)
+			b.mover.RecordComputed(p)
 		}
 		out.WriteString(strings.Join(e.Tokens, ""))
 		if e.Finish != "" {
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -55,7 +55,7 @@
 	// 0 sets no limit.
 	KeysValidFor time.Duration
 	// ContextTracker plans imports and saves of context; nil does neither.
-	ContextTracker *contextcache.Keeper
+	ContextTracker *contextcache.Tracker
 	// WeightQueries holds the engines that RunWeightQueries asks by AskWeights, see doubt; nil asks none.
 	WeightQueries *ring.Ring[string]
 	QueryWeights  QueryWeightsFunc
--- a/internal/coordination/gateway/prompt.go
+++ b/internal/coordination/gateway/prompt.go
@@ -23,7 +23,7 @@
 	keys []contextkey.Key
 	ends []int
 	// parts are the shared parts as their makers name them.
-	parts []contextcache.Part
+	parts []contextcache.Segment
 	// wall separates contexts of customers that share none.
 	wall string
 }
@@ -56,7 +56,7 @@
 		tokens += part.Tokens
 		p.keys = append(p.keys, contextkey.Key(parent[:contextkey.Size]))
 		p.ends = append(p.ends, tokens)
-		p.parts = append(p.parts, contextcache.Part(part))
+		p.parts = append(p.parts, contextcache.Segment(part))
 	}
 	p.root = binary.LittleEndian.Uint64(parent[:8])
 	return p
@@ -69,8 +69,8 @@
 		return
 	}
 	salt := contextcache.Salt(p.wall, x.call.Model, weights)
-	contents := x.g.ContextTracker.Contents(salt, p.parts)
-	r.Segments, r.HoldingsKnown = contents.Imports, contents.Informed
+	contents := x.g.ContextTracker.Lookup(salt, p.parts)
+	r.Segments, r.HoldingsKnown = contents.Imports, contents.EnginesKnown
 	if !r.HoldingsKnown {
 		return
 	}
@@ -92,11 +92,11 @@
 	}
 	s.Weights, s.CacheSalt = weights, contextcache.Salt(p.wall, x.call.Model, c.Member.Endpoint.WeightVersion)
 	plan := x.g.ContextTracker.Plan(s.CacheSalt, strconv.FormatUint(p.root, 36), p.parts, c.Member.Address, x.route.Objective)
-	s.ImportFrom, s.ExportTo = x.forAllParts(plan.From), x.forAllParts(plan.To)
-	if strings.Join(plan.From, "") != "" {
-		s.ImportUntil = plan.Until
+	s.ImportFrom, s.ExportTo = x.forAllParts(plan.ImportFrom), x.forAllParts(plan.SaveTo)
+	if strings.Join(plan.ImportFrom, "") != "" {
+		s.ImportUntil = plan.ImportDeadline
 	}
-	x.storedTokens = plan.Stored
+	x.storedTokens = plan.StoredTokens
 }
 
 // forAllParts adds the parts that belong to the request alone: they come from
--- a/internal/coordination/gateway/sync.go
+++ b/internal/coordination/gateway/sync.go
@@ -83,7 +83,7 @@
 			return
 		}
 		if g.IsLeader() {
-			g.ContextTracker.Clean(ctx, g.oldestWeights())
+			g.ContextTracker.FreeObsolete(ctx, g.oldestWeights())
 		}
 	}
 }
--- a/internal/coordination/gateway/weights_test.go
+++ b/internal/coordination/gateway/weights_test.go
@@ -18,7 +18,9 @@
 )
 
 // newKeeper returns a keeper that knows no store.
-func newKeeper() *contextcache.Keeper { return contextcache.New(nil, zap.NewNop(), "a", time.Now) }
+func newKeeper() *contextcache.Tracker {
+	return contextcache.NewTracker(nil, zap.NewNop(), "a", time.Now)
+}
 
 // TestReplacedWeightsThatDoNotBegin sends a prompt to an endpoint whose weights are
 // replaced meanwhile; it waits in the endpoint's queue.
