--- a/internal/coordination/runs/atmostonce.go
+++ b/internal/coordination/runs/atmostonce.go
@@ -67,7 +67,7 @@
 		last = out
 		request.Exclude = append(request.Exclude, choice.Member.ID)
 	}
-	return Result{}, last.repeatableError(p, "all attempts failed")
+	return Result{}, last.retryLaterError(p, "all attempts failed")
 }
 
 // runKeyed finds the ticket that the caller's key stands for.
--- a/internal/coordination/runs/errors.go
+++ b/internal/coordination/runs/errors.go
@@ -55,8 +55,8 @@
 	"bad_request":                http.StatusBadRequest,
 }
 
-// repeatableError is the answer to a repeatable request that is given up on.
-func (o *outcome) repeatableError(p *progress, why string) *apierror.Error {
+// retryLaterError is the answer to a repeatable request that is given up on.
+func (o *outcome) retryLaterError(p *progress, why string) *apierror.Error {
 	if p.started || p.headSent {
 		return o.streamLostError(why)
 	}
@@ -109,7 +109,7 @@
 
 func noEndpointError(refusal routing.Refusal, last *outcome, p *progress) *apierror.Error {
 	if last != nil {
-		return last.repeatableError(p, "no other endpoint is left")
+		return last.retryLaterError(p, "no other endpoint is left")
 	}
 	if refusal == routing.RefusalAllFull {
 		return apierror.Later(http.StatusServiceUnavailable, apierror.CodeOverloaded, "all endpoints are full", 500*time.Millisecond)
--- a/internal/coordination/runs/runs.go
+++ b/internal/coordination/runs/runs.go
@@ -158,7 +158,7 @@
 		// made.
 		if number > 1 && !r.Budget.Spend() {
 			r.Directory.Release(choice)
-			return Result{}, last.repeatableError(p, "the retry budget is used up")
+			return Result{}, last.retryLaterError(p, "the retry budget is used up")
 		}
 		var out *outcome
 		rd := &round{job: job, keys: keys, request: request, number: number, p: p}
@@ -169,19 +169,19 @@
 		last = out.withMergedRan(last)
 		if ctx.Err() != nil {
 			if last.hasPrecedence(ctx, p) {
-				return Result{}, last.repeatableError(p, "")
+				return Result{}, last.retryLaterError(p, "")
 			}
 			return Result{}, contextError(ctx, p, ranFromWire(last.ran))
 		}
 		if out.clientGone || (out.ran != wire.Ran_RAN_NO && (p.bodyBytes > 0 || !job.canRepeat())) {
-			return Result{}, last.repeatableError(p, "")
+			return Result{}, last.retryLaterError(p, "")
 		}
 		if out.crashedIncarnation != 0 && r.Guard.Blocks(job.fingerprint()) {
-			return Result{}, last.repeatableError(p, "the request has crashed too many endpoints")
+			return Result{}, last.retryLaterError(p, "the request has crashed too many endpoints")
 		}
 		request.Exclude = append(request.Exclude, rd.failedMembers...)
 	}
-	return Result{}, last.repeatableError(p, "all attempts failed")
+	return Result{}, last.retryLaterError(p, "all attempts failed")
 }
 
 // outcome is how one attempt ended.
