--- a/internal/coordination/runs/hedge.go
+++ b/internal/coordination/runs/hedge.go
@@ -116,11 +116,11 @@
 	var last attemptResult
 	for running > 0 {
 		select {
-		case e := <-results:
+		case res := <-results:
 			running--
-			last = rd.p.pickResult(last, e)
-			if !e.out.isHedgeLoser() {
-				rd.failedMembers = append(rd.failedMembers, e.attempt.choice.Member.ID)
+			last = rd.p.pickResult(last, res)
+			if !res.out.isHedgeLoser() {
+				rd.failedMembers = append(rd.failedMembers, res.attempt.choice.Member.ID)
 			}
 		case <-timer.C:
 			if second := r.newHedge(rd, first); second != nil {
--- a/internal/coordination/runs/liveness.go
+++ b/internal/coordination/runs/liveness.go
@@ -30,7 +30,7 @@
 	l.since = now
 }
 
-func (l *idleTracker) end() { l.begin(time.Time{}) }
+func (t *idleTracker) end() { t.begin(time.Time{}) }
 
 // duration returns how long an attempt has waited.
 func (l *idleTracker) duration(now time.Time) time.Duration {
