--- a/internal/coordination/runs/crash_test.go
+++ b/internal/coordination/runs/crash_test.go
@@ -79,14 +79,14 @@
 	r, _ := newRunner(t, 3, nil)
 	withGuard(r)
 	job := promptJob()
-	in := &round{job: job, request: r.newRoutingRequest(job, nil), number: 1, p: &progress{sink: &recordingSink{}}}
-	in.request.Now = time.Now()
-	first := in.p.startRound(r, job, r.Directory.Choose("s", nil, in.request), 1, nil)
-	if r.newHedge(in, first) == nil {
+	rd := &round{job: job, request: r.newRoutingRequest(job, nil), number: 1, p: &progress{sink: &recordingSink{}}}
+	rd.request.Now = time.Now()
+	first := rd.p.startRound(r, job, r.Directory.Choose("s", nil, rd.request), 1, nil)
+	if r.newHedge(rd, first) == nil {
 		t.Fatal("no hedge without suspicion")
 	}
 	r.Guard.Blame(quarantine.Run{Key: job.fingerprint(), Sent: time.Now().Add(-time.Second)}, 1, time.Now())
-	if r.newHedge(in, first) != nil {
+	if r.newHedge(rd, first) != nil {
 		t.Error("a suspect is hedged")
 	}
 }
--- a/internal/coordination/runs/liveness.go
+++ b/internal/coordination/runs/liveness.go
@@ -24,22 +24,22 @@
 	since time.Time
 }
 
-func (l *idleTracker) begin(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.since = now
+func (t *idleTracker) begin(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.since = now
 }
 
 func (t *idleTracker) end() { t.begin(time.Time{}) }
 
 // duration returns how long an attempt has waited.
-func (l *idleTracker) duration(now time.Time) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.since.IsZero() {
+func (t *idleTracker) duration(now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.since.IsZero() {
 		return 0
 	}
-	return now.Sub(l.since)
+	return now.Sub(t.since)
 }
 
 func (r *Runner) register(a *attempt) {
--- a/internal/coordination/runs/runs_test.go
+++ b/internal/coordination/runs/runs_test.go
@@ -491,10 +491,10 @@
 
 	r.Budget = NewRetryBudget(0, 0)
 	job, p := promptJob(), &progress{}
-	in := &round{job: job, request: r.newRoutingRequest(job, nil), number: 1, p: p}
-	choice := r.Directory.Choose("s", nil, in.request)
+	rd := &round{job: job, request: r.newRoutingRequest(job, nil), number: 1, p: p}
+	choice := r.Directory.Choose("s", nil, rd.request)
 	first := p.startRound(r, job, choice, 1, nil)
-	if second := r.newHedge(in, first); second != nil {
+	if second := r.newHedge(rd, first); second != nil {
 		t.Error("a second attempt without a budget")
 	}
 	second := p.addHedge(first, choice, 2)
@@ -505,7 +505,7 @@
 		t.Error("a second attempt after the first token")
 	}
 	plain := &round{job: &Job{Plain: &wire.PlainCall{}}}
-	if late := r.hedgeTimer(plain, choice); !late.Reset(time.Hour) {
+	if timer := r.hedgeTimer(plain, choice); !timer.Reset(time.Hour) {
 		t.Error("a plain call has a second attempt due")
 	}
 }
@@ -515,37 +515,37 @@
 func TestHedgeLoserIsNotCountedAsSuccess(t *testing.T) {
 	stopped := map[string]func(*Runner, *round, *attempt){
 		"the other attempt was sooner": func(r *Runner, _ *round, a *attempt) { r.reportToDirectory(a, hedgeLostOutcome()) },
-		"the first attempt was sooner before it began": func(r *Runner, in *round, a *attempt) {
+		"the first attempt was sooner before it began": func(r *Runner, rd *round, a *attempt) {
 			r.Directory.Release(a.choice)
-			first := &attempt{runner: r, job: in.job, progress: in.p, choice: routing.Choice{Member: fleet.Member{ID: "other"}}}
-			in.p.owner = first
-			if r.newHedge(in, first) != nil {
+			first := &attempt{runner: r, job: rd.job, progress: rd.p, choice: routing.Choice{Member: fleet.Member{ID: "other"}}}
+			rd.p.owner = first
+			if r.newHedge(rd, first) != nil {
 				t.Error("a second attempt after the first token")
 			}
 		},
 	}
 	for name, stop := range stopped {
 		t.Run(name, func(t *testing.T) {
-			r, in, first := newRound(t, 2)
+			r, rd, first := newRound(t, 2)
 			hanging := first.choice.Member.ID
 			for _, m := range r.Table.Members() {
 				if m.ID != hanging {
-					in.request.Exclude = append(in.request.Exclude, m.ID)
+					rd.request.Exclude = append(rd.request.Exclude, m.ID)
 				}
 			}
 			for n := range 4 {
 				if n > 0 {
-					first = in.p.startRound(r, in.job, r.Directory.Choose("s", nil, in.request), 1, nil)
+					first = rd.p.startRound(r, rd.job, r.Directory.Choose("s", nil, rd.request), 1, nil)
 				}
 				if n == 2 {
-					stop(r, in, first)
+					stop(r, rd, first)
 					continue
 				}
 				r.reportToDirectory(first, &outcome{endpointFailed: true})
 			}
-			in.request.Exclude = nil
+			rd.request.Exclude = nil
 			for range 20 {
-				if choice := r.Directory.Choose("s", nil, in.request); choice.Member.ID == hanging {
+				if choice := r.Directory.Choose("s", nil, rd.request); choice.Member.ID == hanging {
 					t.Fatal("it is used after three failures")
 				}
 			}
@@ -709,18 +709,18 @@
 		checkOneRetryLeft(t, r)
 	})
 	t.Run("no other endpoint for a second attempt", func(t *testing.T) {
-		r, in, first := newRound(t, 1)
+		r, rd, first := newRound(t, 1)
 		r.Budget = NewRetryBudget(0, 1)
-		if r.newHedge(in, first) != nil {
+		if r.newHedge(rd, first) != nil {
 			t.Error("a second attempt without an endpoint")
 		}
 		checkOneRetryLeft(t, r)
 	})
 	t.Run("the first attempt has brought something meanwhile", func(t *testing.T) {
-		r, in, first := newRound(t, 2)
+		r, rd, first := newRound(t, 2)
 		r.Budget = NewRetryBudget(0, 1)
-		in.p.claim(first)
-		if r.newHedge(in, first) != nil {
+		rd.p.claim(first)
+		if r.newHedge(rd, first) != nil {
 			t.Error("a second attempt after the first token")
 		}
 		checkOneRetryLeft(t, r)
@@ -743,9 +743,9 @@
 		}
 	})
 	t.Run("a second attempt", func(t *testing.T) {
-		r, in, first := newRound(t, 2)
+		r, rd, first := newRound(t, 2)
 		r.Budget = NewRetryBudget(0, 0)
-		if r.newHedge(in, first) != nil {
+		if r.newHedge(rd, first) != nil {
 			t.Error("a second attempt without a budget")
 		}
 		r.Directory.Release(first.choice)
@@ -760,10 +760,10 @@
 	t.Helper()
 	r, _ := newRunner(t, agents, nil)
 	job, p := promptJob(), &progress{}
-	in := &round{job: job, request: r.newRoutingRequest(job, nil), number: 1, p: p}
-	in.request.Now = time.Now()
-	choice := r.Directory.Choose("s", nil, in.request)
-	return r, in, p.startRound(r, job, choice, 1, nil)
+	rd := &round{job: job, request: r.newRoutingRequest(job, nil), number: 1, p: p}
+	rd.request.Now = time.Now()
+	choice := r.Directory.Choose("s", nil, rd.request)
+	return r, rd, p.startRound(r, job, choice, 1, nil)
 }
 
 // checkOneRetryLeft looks for the one retry that a budget held at first.
