--- a/internal/coordination/gateway/attempt.go
+++ b/internal/coordination/gateway/attempt.go
@@ -51,9 +51,9 @@
 	// attempt does better.
 	answer *bufferedAnswer
 	err    error
-	// stale: a kept connection ended before anything came back. The endpoint may serve the
+	// staleConnection: a kept connection ended before anything came back. The endpoint may serve the
 	// request on a fresh one.
-	stale bool
+	staleConnection bool
 	// stopOrdered: this process had the run stopped, to move it.
 	stopOrdered bool
 	// next is where a run that was moved goes on.
@@ -67,34 +67,34 @@
 	body   []byte
 }
 
-// maxBuffered bounds the answers that are read whole before they are passed on;
+// maxBufferedBytes bounds the answers that are read whole before they are passed on;
 // a longer one is passed on as it comes.
-const maxBuffered = 256 << 10
+const maxBufferedBytes = 256 << 10
 
 // send makes one attempt up to the head of the answer.
-func (x *exchange) send(ctx context.Context, c routing.Choice, s Attempt) (*upstream.Response, Reply, outcome) {
-	header := forwarded(x.r.Header)
-	x.g.Codec.EncodeAttempt(header, s)
+func (x *exchange) send(ctx context.Context, c routing.Choice, a Attempt) (*upstream.Response, Reply, outcome) {
+	header := forwardedHeader(x.r.Header)
+	x.g.Codec.EncodeAttempt(header, a)
 	request := &upstream.Request{
 		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Header: header,
-		Body: x.body, HasBody: x.r.Header.Get("Content-Length") != "", Matches: x.matches,
+		Body: x.body, HasBody: x.r.Header.Get("Content-Length") != "", Matches: x.isOwnAnswer,
 		FreshConnection: c.Member.ID == x.staleEndpoint,
 	}
 	resp, err := x.g.Pool.Do(ctx, c.Member.Address, request)
 	x.trace = request.Trace
 	if err != nil {
 		out := x.classifyError(ctx, err)
-		out.stale = out.kind == broken && request.Trace.Reused && !request.Trace.Answered && connectionEnded(err)
+		out.staleConnection = out.kind == broken && request.Trace.Reused && !request.Trace.Answered && connectionEnded(err)
 		return nil, Reply{}, out
 	}
 	reply := x.g.Codec.DecodeReply(resp.Status, resp.Header)
-	x.g.observe(c, reply)
+	x.g.recordReply(c, reply)
 	return resp, reply, outcome{}
 }
 
-// matches accepts the answers that name this attempt. Refusals may leave the name
+// isOwnAnswer accepts the answers that name this attempt. Refusals may leave the name
 // out; on a connection that carried nothing else they can be no other's.
-func (x *exchange) matches(h http.Header, fresh bool) bool {
+func (x *exchange) isOwnAnswer(h http.Header, fresh bool) bool {
 	id := x.g.Codec.DecodeReply(0, h).ID
 	return id == x.call.ID || (id == "" && fresh)
 }
@@ -110,18 +110,18 @@
 		return outcome{kind: stopped, err: err}
 	case errors.Is(context.Cause(ctx), errBlamed):
 		return outcome{kind: canceledByQuarantine, err: errBlamed}
-	case errors.Is(context.Cause(ctx), errReplacedWeights):
-		return outcome{kind: broken, err: errReplacedWeights}
+	case errors.Is(context.Cause(ctx), errWeightsReplaced):
+		return outcome{kind: broken, err: errWeightsReplaced}
 	case ctx.Err() != nil:
 		return outcome{kind: timedOut, err: err}
 	}
 	return outcome{kind: broken, err: err}
 }
 
-// rejectedBy ends an attempt that the endpoint did not run.
-func (x *exchange) rejectedBy(c routing.Choice, s Attempt, r Reply) outcome {
+// handleRejection ends an attempt that the endpoint did not run.
+func (x *exchange) handleRejection(c routing.Choice, a Attempt, r Reply) outcome {
 	switch {
-	case r.Misdirected && s.Weights > 0:
+	case r.Misdirected && a.Weights > 0:
 		x.g.doubt(c.Member.ID)
 	case r.Misdirected:
 		x.g.State.Misdirected(c.Member.ID)
@@ -135,8 +135,8 @@
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// forwarded copies a header without what concerns one connection only.
-func forwarded(h http.Header) http.Header {
+// forwardedHeader copies a header without what concerns one connection only.
+func forwardedHeader(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h["Connection"] {
 		for _, name := range splitList(list) {
@@ -151,46 +151,46 @@
 
 // plainAttempt runs a request whose answer is short: it is passed on when it is
 // whole, so that a broken one can be asked for again.
-func (x *exchange) plainAttempt(ctx context.Context, c routing.Choice, s Attempt) outcome {
+func (x *exchange) plainAttempt(ctx context.Context, c routing.Choice, a Attempt) outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	defer x.callBackWhenBlamed(cancel)()
-	resp, reply, out := x.send(ctx, c, s)
+	resp, reply, out := x.send(ctx, c, a)
 	if resp == nil {
 		return out
 	}
 	defer resp.Close()
 	if reply.NotRun {
-		return x.rejectedBy(c, s, reply)
+		return x.handleRejection(c, a, reply)
 	}
-	return x.takeAnswer(ctx, resp)
+	return x.handleAnswer(ctx, resp)
 }
 
-// takeAnswer takes an answer that is no stream. A failure is kept, as another endpoint may do
+// handleAnswer takes an answer that is no stream. A failure is kept, as another endpoint may do
 // better, unless it is too long for that.
 //
 // Whether a status may be passed on is asked before the length is: a long 503 of a request
 // that ran would promise just as falsely that it did not.
-func (x *exchange) takeAnswer(ctx context.Context, resp *upstream.Response) outcome {
-	body, err := io.ReadAll(io.LimitReader(resp, maxBuffered))
+func (x *exchange) handleAnswer(ctx context.Context, resp *upstream.Response) outcome {
+	body, err := io.ReadAll(io.LimitReader(resp, maxBufferedBytes))
 	if err != nil {
 		return x.classifyError(ctx, err)
 	}
 	answer := &bufferedAnswer{status: resp.Status, header: resp.Header, body: body}
 	switch {
-	case x.headWritten || !x.mayPassStatus(resp.Status):
+	case x.headWritten || !x.canForwardStatus(resp.Status):
 		return outcome{kind: answeredFailure, answer: answer}
-	case len(body) == maxBuffered:
-		return x.passOn(ctx, answer, resp)
+	case len(body) == maxBufferedBytes:
+		return x.forwardLongAnswer(ctx, answer, resp)
 	case resp.Status >= http.StatusInternalServerError:
 		return outcome{kind: answeredFailure, answer: answer}
 	}
-	x.deliver(answer)
+	x.writeAnswer(answer)
 	return outcome{kind: delivered}
 }
 
-// passOn delivers an answer that is too long to be kept.
-func (x *exchange) passOn(ctx context.Context, a *bufferedAnswer, rest *upstream.Response) outcome {
+// forwardLongAnswer delivers an answer that is too long to be kept.
+func (x *exchange) forwardLongAnswer(ctx context.Context, a *bufferedAnswer, rest *upstream.Response) outcome {
 	x.writeHead(a.status, a.header, rest.Length)
 	x.stream.unresumable = true
 	if _, err := x.w.Write(a.body); err != nil {
@@ -220,9 +220,9 @@
 	return n, err
 }
 
-// mayPassStatus tells whether a status may be passed on for a request that has
+// canForwardStatus tells whether a status may be passed on for a request that has
 // run: some promise that it did not.
-func (x *exchange) mayPassStatus(status int) bool {
+func (x *exchange) canForwardStatus(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return x.route.Kind == routes.Idempotent
@@ -230,7 +230,7 @@
 	return true
 }
 
-func (x *exchange) deliver(a *bufferedAnswer) {
+func (x *exchange) writeAnswer(a *bufferedAnswer) {
 	x.writeHead(a.status, a.header, int64(len(a.body)))
 	// A caller that has left is seen by the request's context.
 	x.w.Write(a.body)
@@ -239,7 +239,7 @@
 // writeHead passes on an answer's head; length -1 leaves the framing open.
 func (x *exchange) writeHead(status int, header http.Header, length int64) {
 	out := x.w.Header()
-	for name, values := range forwarded(header) {
+	for name, values := range forwardedHeader(header) {
 		out[name] = values
 	}
 	if _, typed := out["Content-Type"]; !typed {
@@ -253,8 +253,8 @@
 	x.w.WriteHeader(status)
 }
 
-// observe takes in what an endpoint's answer tells of it.
-func (g *Gateway) observe(c routing.Choice, r Reply) {
+// recordReply takes in what an endpoint's answer tells of it.
+func (g *Gateway) recordReply(c routing.Choice, r Reply) {
 	if r.Weights > 0 {
 		g.State.Observe(c.Member.ID, r.Weights)
 	}
--- a/internal/coordination/gateway/call.go
+++ b/internal/coordination/gateway/call.go
@@ -80,7 +80,7 @@
 	DecodeCall(h http.Header) (Call, error)
 	// EncodeAttempt changes a header for an endpoint: it takes out what only the system
 	// may say and sets what it says.
-	EncodeAttempt(h http.Header, s Attempt)
+	EncodeAttempt(h http.Header, a Attempt)
 	// DecodeReply reads an answer's header.
 	DecodeReply(status int, h http.Header) Reply
 	// EncodeRetryAfter tells a caller when to come back.
--- a/internal/coordination/gateway/config_test.go
+++ b/internal/coordination/gateway/config_test.go
@@ -24,7 +24,7 @@
 // come back instead.
 func TestOutdatedConfigurationRefusesNobodyForGood(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
-	s.gateway.Watcher.Heard(time.Now().Add(-staleAfter - time.Second))
+	s.gateway.Watcher.Heard(time.Now().Add(-configStaleAfter - time.Second))
 	for _, path := range []string{"/r/x", "/new/x"} {
 		resp, _, err := s.do(s.newRequest("GET", path, "", headerKey+": new"))
 		if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
--- a/internal/coordination/gateway/crash.go
+++ b/internal/coordination/gateway/crash.go
@@ -128,7 +128,7 @@
 	if errors.As(err, &network) && network.Timeout() {
 		return false
 	}
-	return !errors.Is(err, upstream.ErrForeign) && !errors.Is(err, errReplacedWeights) && !errors.Is(err, errStopped)
+	return !errors.Is(err, upstream.ErrForeign) && !errors.Is(err, errWeightsReplaced) && !errors.Is(err, errStopped)
 }
 
 // runProbe carries out a probe.
--- a/internal/coordination/gateway/ending_test.go
+++ b/internal/coordination/gateway/ending_test.go
@@ -143,7 +143,7 @@
 // that promises "not run" was passed on for a request that had run, as only short answers
 // were looked at: the caller would send its order again.
 func TestLongAnswersKeepTheRules(t *testing.T) {
-	long := strings.Repeat("b", maxBuffered+1000)
+	long := strings.Repeat("b", maxBufferedBytes+1000)
 	rows := []struct {
 		name   string
 		kind   routes.Kind
@@ -176,7 +176,7 @@
 // would begin anew, and the caller would read both as one answer. The connection must break.
 func TestBegunAnswerIsNotJoinedToAnother(t *testing.T) {
 	torn := func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 201 X\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", headerID, r.Header.Get(headerID), 2*maxBuffered, strings.Repeat("b", maxBuffered))
+		fmt.Fprintf(c, "HTTP/1.1 201 X\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", headerID, r.Header.Get(headerID), 2*maxBufferedBytes, strings.Repeat("b", maxBufferedBytes))
 	}
 	rows := map[string]responder{
 		"events without ids":       respondTruncatedStream("data: one\n\n"),
@@ -333,8 +333,8 @@
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
 	x := &exchange{g: s.gateway, r: s.newRequest("GET", "/r/x", "").WithContext(ctx), lastFailure: &bufferedAnswer{status: 500}}
-	if end := x.finalEnding(outcome{kind: answeredFailure}, 1); end.how != endCallerLeft {
-		t.Errorf("the exchange ends as %d, want %d", end.how, endCallerLeft)
+	if end := x.finalEnding(outcome{kind: answeredFailure}, 1); end.kind != endCallerLeft {
+		t.Errorf("the exchange ends as %d, want %d", end.kind, endCallerLeft)
 	}
 }
 
@@ -356,7 +356,7 @@
 // middle of long answers.
 func TestCallersBrokenConnectionIsNoFailureOfTheEndpoint(t *testing.T) {
 	for left := range 2 {
-		s := newTestServer(t, singleRoute(routes.Idempotent, 2), respond(200, strings.Repeat("b", 2*maxBuffered)))
+		s := newTestServer(t, singleRoute(routes.Idempotent, 2), respond(200, strings.Repeat("b", 2*maxBufferedBytes)))
 		x := &exchange{
 			g: s.gateway, w: &deafWriter{httptest.NewRecorder(), left}, r: httptest.NewRequest("GET", "/r/x", nil),
 			startedAt: time.Now(), deadline: time.Now().Add(time.Minute),
@@ -367,8 +367,8 @@
 		if refusal := x.prepare(); refusal != nil {
 			t.Fatal(refusal)
 		}
-		if end := x.serve(); end.how != endCallerLeft || x.tries[0].Outcome != callerLeft.String() {
-			t.Errorf("%d writes: ending %d, attempt %s", left, end.how, x.tries[0].Outcome)
+		if end := x.serve(); end.kind != endCallerLeft || x.attempts[0].Outcome != callerLeft.String() {
+			t.Errorf("%d writes: ending %d, attempt %s", left, end.kind, x.attempts[0].Outcome)
 		}
 	}
 }
@@ -442,11 +442,11 @@
 	request := x.routingRequest()
 	request.Exclude = []string{"i-1"}
 	for _, end := range ends {
-		x.recordAttempt(x.choose(request, promptContext{}, outcome{}), Attempt{}, end, time.Now())
+		x.recordAttempt(x.chooseEndpoint(request, promptContext{}, outcome{}), Attempt{}, end, time.Now())
 	}
 	request.Exclude = nil
 	for range 20 {
-		choice := x.choose(request, promptContext{}, outcome{})
+		choice := x.chooseEndpoint(request, promptContext{}, outcome{})
 		s.gateway.Directory.Release(choice)
 		if choice.Member.ID == "i-0" {
 			return true
--- a/internal/coordination/gateway/framing_test.go
+++ b/internal/coordination/gateway/framing_test.go
@@ -39,7 +39,7 @@
 
 // TestFramings guards against whole answers that are lost, and broken ones that look whole, by how they are delimited.
 func TestFramings(t *testing.T) {
-	long := strings.Repeat("b", maxBuffered)
+	long := strings.Repeat("b", maxBufferedBytes)
 	end := func(c *net.TCPConn) { c.Close() }
 	reset := func(c *net.TCPConn) {
 		c.SetLinger(0)
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -30,11 +30,11 @@
 )
 
 const (
-	// staleAfter without a word from the store, an unknown key or route may be one
+	// configStaleAfter without a word from the store, an unknown key or route may be one
 	// that this process has not heard of yet: the caller is told to come back.
-	staleAfter = 4 * time.Second
-	// assumedDeadline is used where neither caller nor route names one.
-	assumedDeadline = 30 * time.Second
+	configStaleAfter = 4 * time.Second
+	// defaultTimeout is used where neither caller nor route names one.
+	defaultTimeout = 30 * time.Second
 )
 
 // Gateway serves callers. Its fields are set before it serves.
@@ -78,26 +78,28 @@
 	crashProbes  crashProbes
 	waitingRuns  waitingRuns
 	notReady     atomic.Bool
-	drain        atomic.Pointer[drain]
+	drain        atomic.Pointer[drainWindow]
 	inFlight     atomic.Int64
 }
 
-// drain is the end of a stop.
-type drain struct{ lateFrom, end time.Time }
+// drainWindow is the end of a stop.
+type drainWindow struct{ refuseAfter, end time.Time }
 
 // MarkNotReady makes the gateway say that it is not ready; requests are served on.
 func (g *Gateway) MarkNotReady() { g.notReady.Store(true) }
 
 // SetDrainWindow tells that the process ends at end. A request that begins after lateFrom is served only if
 // its own time ends before, and else refused: cut at the end, it may have run.
-func (g *Gateway) SetDrainWindow(lateFrom, end time.Time) { g.drain.Store(&drain{lateFrom, end}) }
+func (g *Gateway) SetDrainWindow(refuseAfter, end time.Time) {
+	g.drain.Store(&drainWindow{refuseAfter, end})
+}
 
 // InFlight counts the requests underway.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
 // ServeReady answers the balancer's probe.
 func (g *Gateway) ServeReady(w http.ResponseWriter, _ *http.Request) {
-	if g.notReady.Load() || !g.State.Ready() || g.keysOutdated() {
+	if g.notReady.Load() || !g.State.Ready() || g.hasStaleKeys() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
 	}
@@ -123,8 +125,8 @@
 	cachedFingerprint *fingerprint.Key
 	// onTrial tells that the request is in quarantine and has this one run.
 	onTrial bool
-	// tries are the attempts made, for the log.
-	tries []try
+	// attempts are the attempts made, for the log.
+	attempts []attemptRecord
 	// onStreamBegun tells that the present attempt's stream has onStreamBegun.
 	onStreamBegun func()
 	// firstEventAt of the present attempt came then.
@@ -141,8 +143,8 @@
 	stream streamState
 	// relocation watches over the present attempt's run.
 	relocation *relocation
-	// bodyLate tells that the body had not come when the request's time was up.
-	bodyLate bool
+	// bodyTimedOut tells that the body had not come when the request's time was up.
+	bodyTimedOut bool
 	// headWritten tells that the answer's head has been written, status is the one it bears.
 	headWritten bool
 	status      int
@@ -154,35 +156,35 @@
 	defer g.inFlight.Add(-1)
 	x := &exchange{g: g, w: w, r: r, startedAt: time.Now()}
 	if refusal := x.prepare(); refusal != nil {
-		x.end(refuseWith(refusal))
+		x.finish(refusalEnding(refusal))
 		return
 	}
-	x.end(x.serve())
+	x.finish(x.serve())
 }
 
-// end finishes an exchange: it writes a refusal that is due, logs and counts, and breaks the
+// finish finishes an exchange: it writes a refusal that is due, logs and counts, and breaks the
 // connection unless the caller has a whole answer or a refusal.
 //
 // An exchange that ends without a whole answer must break the connection: when a handler returns,
-// net/http completes what was written, a begun stream with its end and nothing at all with an
+// net/http completes what was written, a begun stream with its finish and nothing at all with an
 // empty 200. A caller that closed only its sending side would take either for an endpoint's answer.
-func (x *exchange) end(e ending) {
+func (x *exchange) finish(e ending) {
 	outcome := "answered"
-	switch e.how {
+	switch e.kind {
 	case endCallerLeft:
 		outcome = "left"
 	case endRefused:
 		outcome = e.refusal.Code
-		x.refuse(e.refusal)
+		x.writeRefusal(e.refusal)
 	}
-	got := x.received(e)
-	x.log(e.refusal, got)
+	got := x.receiptFor(e)
+	x.logRequest(e.refusal, got)
 	x.g.count("requests." + x.kind() + "." + outcome)
 	metrics.GetOrRegisterTimer("gateway.request."+x.kind(), x.g.Metrics).UpdateSince(x.startedAt)
 	if got == receipt.Answer || got == receipt.Refusal {
 		return
 	}
-	if e.how == endRefused && x.headWritten {
+	if e.kind == endRefused && x.headWritten {
 		x.g.count("answers_cut")
 	}
 	panic(http.ErrAbortHandler)
@@ -210,10 +212,10 @@
 // hasCallerLeft tells whether the caller is gone. net/http ends the request's context also when a
 // read of the body times out; that caller is still there.
 func (x *exchange) hasCallerLeft() bool {
-	return x.r.Context().Err() != nil && !x.isForceStopped() && !x.bodyLate
+	return x.r.Context().Err() != nil && !x.isForceStopped() && !x.bodyTimedOut
 }
 
-func (x *exchange) refuse(e *apierror.Error) {
+func (x *exchange) writeRefusal(e *apierror.Error) {
 	if x.headWritten || x.hasCallerLeft() {
 		return
 	}
@@ -230,7 +232,7 @@
 func (x *exchange) prepare() *apierror.Error {
 	x.table = x.g.State.Routes()
 	if x.table == nil {
-		return notYet("the configuration is not known yet")
+		return refuseNotReady("the configuration is not known yet")
 	}
 	if headerSize(x.r) > x.table.Limits.HeaderBytes && x.table.Limits.HeaderBytes > 0 {
 		return apierror.New(http.StatusRequestHeaderFieldsTooLarge, apierror.CodeTooLarge, "the header is too large")
@@ -250,12 +252,12 @@
 	return x.readBody()
 }
 
-func notYet(message string) *apierror.Error {
-	return apierror.Later(http.StatusServiceUnavailable, apierror.CodeNotReady, message, notReadyPause)
+func refuseNotReady(message string) *apierror.Error {
+	return apierror.Later(http.StatusServiceUnavailable, apierror.CodeNotReady, message, notReadyRetryAfter)
 }
 
-// notReadyPause is about the time of a start's first list.
-const notReadyPause = 500 * time.Millisecond
+// notReadyRetryAfter is about the time of a start's first list.
+const notReadyRetryAfter = 500 * time.Millisecond
 
 // headerSize is the size of a request's header as it was sent.
 func headerSize(r *http.Request) int64 {
@@ -273,35 +275,35 @@
 	path, _, _ := strings.Cut(x.r.RequestURI, "?")
 	route, ok := x.table.Match(x.r.Host, path)
 	if !ok {
-		return x.unknown(http.StatusNotFound, apierror.CodeNotFound, "no route leads there")
+		return x.refuseUnknown(http.StatusNotFound, apierror.CodeNotFound, "no route leads there")
 	}
 	x.route = route
 	if x.table.KeysRequired && !route.Public {
-		if x.g.keysOutdated() {
-			return notYet("keys may have been taken away since the store last answered")
+		if x.g.hasStaleKeys() {
+			return refuseNotReady("keys may have been taken away since the store last answered")
 		}
 		x.customer, ok = x.table.CustomerOf(x.call.Key)
 		if !ok {
-			return x.unknown(http.StatusUnauthorized, apierror.CodeUnauthorized, "the API key is not known")
+			return x.refuseUnknown(http.StatusUnauthorized, apierror.CodeUnauthorized, "the API key is not known")
 		}
 	}
 	x.service = x.table.Services[route.Pick(rand.Uint64())]
 	if x.service == nil {
-		return x.unknown(http.StatusNotFound, apierror.CodeNotFound, "the route's service does not exist")
+		return x.refuseUnknown(http.StatusNotFound, apierror.CodeNotFound, "the route's service does not exist")
 	}
 	return nil
 }
 
-// keysOutdated tells whether a key that was taken away may still be known here.
-func (g *Gateway) keysOutdated() bool {
+// hasStaleKeys tells whether a key that was taken away may still be known here.
+func (g *Gateway) hasStaleKeys() bool {
 	return g.KeysValidFor > 0 && g.Watcher.ConfigAge() > g.KeysValidFor
 }
 
-// unknown refuses what the configuration in force does not hold. When it may be
+// refuseUnknown refuses what the configuration in force does not hold. When it may be
 // outdated, a refusal for good would be wrong for what was added since.
-func (x *exchange) unknown(status int, code, message string) *apierror.Error {
-	if age := x.g.Watcher.Age(time.Now()); age > staleAfter {
-		return notYet(message + ", but the configuration may be outdated")
+func (x *exchange) refuseUnknown(status int, code, message string) *apierror.Error {
+	if age := x.g.Watcher.Age(time.Now()); age > configStaleAfter {
+		return refuseNotReady(message + ", but the configuration may be outdated")
 	}
 	return apierror.New(status, code, message)
 }
@@ -309,7 +311,7 @@
 func (x *exchange) setDeadline() {
 	limit := x.route.Timeout
 	if limit <= 0 {
-		limit = assumedDeadline
+		limit = defaultTimeout
 	}
 	if x.call.Deadline > 0 {
 		limit = min(limit, x.call.Deadline)
@@ -338,13 +340,13 @@
 	// No path that leaves the body unread clears the deadline: before it answers, net/http reads the
 	// rest of the body, and would wait for it.
 	defer context.AfterFunc(x.r.Context(), func() { control.SetReadDeadline(time.Unix(1, 0)) })()
-	err := x.readWhole()
+	err := x.readAll()
 	if x.isForceStopped() {
-		return x.cutShort().refusal
+		return x.forcedStopEnding().refusal
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		x.bodyLate = true
-		return apierror.Later(http.StatusServiceUnavailable, apierror.CodeTimeout, "the body did not come in time", notReadyPause)
+		x.bodyTimedOut = true
+		return apierror.Later(http.StatusServiceUnavailable, apierror.CodeTimeout, "the body did not come in time", notReadyRetryAfter)
 	}
 	control.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
@@ -357,13 +359,13 @@
 	return nil
 }
 
-// preallocated bounds the memory that a body takes by the length it announces; a longer one takes
+// maxPreallocated bounds the memory that a body takes by the length it announces; a longer one takes
 // it as it comes.
-const preallocated = 1 << 20
+const maxPreallocated = 1 << 20
 
-func (x *exchange) readWhole() error {
+func (x *exchange) readAll() error {
 	var err error
-	if x.r.ContentLength > 0 && x.r.ContentLength <= preallocated {
+	if x.r.ContentLength > 0 && x.r.ContentLength <= maxPreallocated {
 		x.body = make([]byte, x.r.ContentLength)
 		_, err = io.ReadFull(x.r.Body, x.body)
 	} else {
@@ -375,7 +377,7 @@
 // isTooLate tells whether the process may end before the request does, which came when that was known.
 func (x *exchange) isTooLate() bool {
 	d := x.g.drain.Load()
-	return d != nil && x.startedAt.After(d.lateFrom) && x.deadline.After(d.end)
+	return d != nil && x.startedAt.After(d.refuseAfter) && x.deadline.After(d.end)
 }
 
 // serve carries out the request until its deadline or the caller's end.
@@ -385,13 +387,13 @@
 	x.g.RetryBudget.Earn()
 	if x.isForceStopped() {
 		// Nothing may be sent any more: a connection to an endpoint closes too late to prevent it.
-		return x.cutShort()
+		return x.forcedStopEnding()
 	}
 	if x.isTooLate() {
-		return notRun(apierror.CodeStopping, "the gateway stops before the request's time is up")
+		return notRunEnding(apierror.CodeStopping, "the gateway stops before the request's time is up")
 	}
 	if refusal := x.quarantined(ctx); refusal != nil {
-		return refuseWith(refusal)
+		return refusalEnding(refusal)
 	}
 	return x.run(ctx)
 }
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -348,7 +348,7 @@
 // Though the request may be repeated, nothing else is asked: a second answer would
 // be joined to the first.
 func TestLongAnswerIsTorn(t *testing.T) {
-	long := strings.Repeat("a", 2*maxBuffered)
+	long := strings.Repeat("a", 2*maxBufferedBytes)
 	torn := func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", headerID, r.Header.Get(headerID), len(long)+1, long)
 	}
--- a/internal/coordination/gateway/requestlog.go
+++ b/internal/coordination/gateway/requestlog.go
@@ -10,8 +10,8 @@
 	"limpetwall/internal/transport/ingress"
 )
 
-// try is what became of one attempt, and what was believed when it was made.
-type try struct {
+// attemptRecord is what became of one attempt, and what was believed when it was made.
+type attemptRecord struct {
 	Endpoint string `json:"endpoint"`
 	Reason   string `json:"reason"`
 	Outcome  string `json:"outcome"`
@@ -41,11 +41,11 @@
 	PeerUnread  int `json:"peer_unread"`
 }
 
-// received tells what the caller has. The decision alone doesn't: a refusal that comes after
+// receiptFor tells what the caller has. The decision alone doesn't: a refusal that comes after
 // a head was written is decided and counted like any other, but its status reaches nobody.
-func (x *exchange) received(e ending) receipt.Receipt {
+func (x *exchange) receiptFor(e ending) receipt.Receipt {
 	switch {
-	case e.how == endAnswered || e.how == endKept:
+	case e.kind == endAnswered || e.kind == endBuffered:
 		return receipt.Answer
 	case x.headWritten:
 		return receipt.Part
@@ -55,14 +55,14 @@
 	return receipt.Nothing
 }
 
-// log writes the exchange's one line.
-func (x *exchange) log(refusal *apierror.Error, got receipt.Receipt) {
+// logRequest writes the exchange's one line.
+func (x *exchange) logRequest(refusal *apierror.Error, got receipt.Receipt) {
 	if x.g.RequestLogLimiter != nil && !x.g.RequestLogLimiter.Allow() {
 		x.g.count("request_lines_dropped")
 		return
 	}
 	fields := []zap.Field{
-		zap.String("request_id", x.call.ID), zap.String("path", x.r.URL.Path), zap.Duration("took", time.Since(x.startedAt)), zap.Any("attempts", x.tries),
+		zap.String("request_id", x.call.ID), zap.String("path", x.r.URL.Path), zap.Duration("took", time.Since(x.startedAt)), zap.Any("attempts", x.attempts),
 	}
 	if !x.deadline.IsZero() {
 		fields = append(fields, zap.Duration("time_given", x.deadline.Sub(x.startedAt)))
--- a/internal/coordination/gateway/run.go
+++ b/internal/coordination/gateway/run.go
@@ -21,8 +21,8 @@
 	// maxUnreached endpoints are tried in vain for one request: each costs the time
 	// that a connection may take to open.
 	maxUnreached = 3
-	// minLeft of a request's time is worth another attempt.
-	minLeft = 20 * time.Millisecond
+	// minTimeLeft of a request's time is worth another attempt.
+	minTimeLeft = 20 * time.Millisecond
 	// defaultPrefillRate is a model server's reading speed before any was measured,
 	// in tokens per second.
 	defaultPrefillRate = 40_000
@@ -43,15 +43,15 @@
 // run makes attempts until one answers the caller or no more is tried, and delivers an answer
 // that was kept.
 func (x *exchange) run(ctx context.Context) ending {
-	end := x.attempts(ctx)
-	if end.how == endKept {
-		x.deliver(end.answer)
+	end := x.runAttempts(ctx)
+	if end.kind == endBuffered {
+		x.writeAnswer(end.answer)
 	}
 	return end
 }
 
-// attempts asks one endpoint after the other until one answers the caller or no more is tried.
-func (x *exchange) attempts(ctx context.Context) ending {
+// runAttempts asks one endpoint after the other until one answers the caller or no more is tried.
+func (x *exchange) runAttempts(ctx context.Context) ending {
 	request := x.routingRequest()
 	prompt := x.promptContext()
 	request.PlacementHash, request.PlacementHashKnown, request.ChunkEnds = prompt.root, true, prompt.ends
@@ -59,34 +59,34 @@
 	var last outcome
 	sent, unreached := 0, 0
 	for {
-		choice := x.choose(request, prompt, last)
+		choice := x.chooseEndpoint(request, prompt, last)
 		if choice.Member.ID == "" {
-			return x.noEndpoint(choice.Refusal, sent, last)
+			return x.noEndpointEnding(choice.Refusal, sent, last)
 		}
 		if refusal := x.refuseOverload(choice, sent); refusal != nil {
 			x.g.Directory.Release(choice)
-			return refuseWith(refusal)
+			return refusalEnding(refusal)
 		}
-		if last.costsRetry() && !x.g.RetryBudget.Spend() {
+		if last.needsRetryBudget() && !x.g.RetryBudget.Spend() {
 			x.g.count("retry_budget_used_up")
 			x.g.Directory.Release(choice)
 			return x.finalEnding(last, sent)
 		}
 		started := time.Now()
-		send := x.sendFor(choice, prompt)
+		attempt := x.newAttempt(choice, prompt)
 		if last.next != nil {
-			send.continueFrom(last.next.from())
+			attempt.continueFrom(last.next.from())
 		}
 		if x.route.Kind == routes.Streaming {
-			last = x.streamAttempt(ctx, choice, send)
+			last = x.streamAttempt(ctx, choice, attempt)
 		} else {
-			last = x.plainAttempt(ctx, choice, send)
+			last = x.plainAttempt(ctx, choice, attempt)
 		}
 		if last.kind == callerLeft && x.isForceStopped() {
 			// A forced stop, too, ends the context and makes writes fail; its caller has not left.
 			last.kind = stopped
 		}
-		x.recordAttempt(choice, send, last, started)
+		x.recordAttempt(choice, attempt, last, started)
 		probe := x.probeCrash(choice, last, started)
 		if last.kind != notReached {
 			sent++
@@ -96,9 +96,9 @@
 		x.noteSurvival(last)
 		switch last.kind {
 		case delivered:
-			return ending{how: endAnswered}
+			return ending{kind: endAnswered}
 		case callerLeft:
-			return ending{how: endCallerLeft}
+			return ending{kind: endCallerLeft}
 		case relocated:
 			continue
 		}
@@ -106,7 +106,7 @@
 			return x.finalEnding(last, sent)
 		}
 		switch {
-		case last.stale && !probe.hasCrashed():
+		case last.staleConnection && !probe.hasCrashed():
 			x.staleEndpoint = choice.Member.ID
 		case x.staleEndpoint == choice.Member.ID:
 			x.staleEndpoint = ""
@@ -115,9 +115,9 @@
 	}
 }
 
-// choose picks the next attempt's endpoint: the one that a moved run goes on at, or the best; an
+// chooseEndpoint picks the next attempt's endpoint: the one that a moved run goes on at, or the best; an
 // empty choice if there is none.
-func (x *exchange) choose(request *routing.Request, prompt promptContext, last outcome) routing.Choice {
+func (x *exchange) chooseEndpoint(request *routing.Request, prompt promptContext, last outcome) routing.Choice {
 	if last.next != nil {
 		return last.next.choice
 	}
@@ -132,8 +132,8 @@
 }
 
 // continueFrom makes a send go on with a copied run, whose memory holds all context.
-func (s *Attempt) continueFrom(copied string) {
-	s.ContinueFrom, s.ImportFrom, s.ExportTo, s.ImportUntil = copied, nil, nil, 0
+func (a *Attempt) continueFrom(copied string) {
+	a.ContinueFrom, a.ImportFrom, a.ExportTo, a.ImportUntil = copied, nil, nil, 0
 }
 
 // refuseOverload refuses a prompt that would be answered too late to be of use, before it
@@ -142,23 +142,23 @@
 	if x.service.Engine == nil || sent > 0 {
 		return nil
 	}
-	ok, after := admission.Accept(admission.Prospect{
+	ok, retryAfterDelay := admission.Accept(admission.Prospect{
 		Wait: c.Wait, First: c.TTFT, Objective: x.route.Objective, Left: x.timeLeft(), Rank: x.table.PriorityRank(x.priority(), x.service.Name),
 	})
 	if ok {
 		return nil
 	}
-	after += time.Duration(rand.Int64N(int64(after)))
+	retryAfterDelay += time.Duration(rand.Int64N(int64(retryAfterDelay)))
 	message := "the engines are full: the best would begin in " + c.Wait.Round(time.Millisecond).String()
-	return apierror.Later(http.StatusServiceUnavailable, apierror.CodeOverloaded, message, after)
+	return apierror.Later(http.StatusServiceUnavailable, apierror.CodeOverloaded, message, retryAfterDelay)
 }
 
-// costsRetry tells whether another attempt draws on the retry budget. What reached no endpoint
+// needsRetryBudget tells whether another attempt draws on the retry budget. What reached no endpoint
 // costs none of them anything, and a run that was moved goes on.
 //
 // It is asked when an endpoint has been chosen: a service whose last endpoint fails would
 // otherwise use up the budget of all services without a single retry.
-func (o outcome) costsRetry() bool {
+func (o outcome) needsRetryBudget() bool {
 	switch o.kind {
 	case rejected, answeredFailure, broken:
 		return true
@@ -168,10 +168,10 @@
 
 // canRetry decides whether another endpoint is asked.
 func (x *exchange) canRetry(ctx context.Context, last outcome, sent, unreached int) bool {
-	if ctx.Err() != nil || x.timeLeft() < minLeft {
+	if ctx.Err() != nil || x.timeLeft() < minTimeLeft {
 		return false
 	}
-	resumable := x.resumable()
+	resumable := x.canResume()
 	if x.headWritten && !resumable {
 		// The caller has a part already: another answer would be joined to it. A run that
 		// was moved and is rejected where it should go on has run as well.
@@ -191,47 +191,47 @@
 	return sent < x.route.MaxAttempts
 }
 
-// resumable tells whether another endpoint may go on where the last one broke off. What the
+// canResume tells whether another endpoint may go on where the last one broke off. What the
 // caller has must end with an event that bears an id, as the other would otherwise repeat what
 // came behind it, and the caller would read both as one answer.
-func (x *exchange) resumable() bool {
+func (x *exchange) canResume() bool {
 	return x.route.Kind == routes.Streaming && x.route.Resumable && !x.stream.unresumable
 }
 
 // recordAttempt tells the directory how an attempt ended, and keeps it for the log.
-func (x *exchange) recordAttempt(c routing.Choice, sent Attempt, o outcome, started time.Time) {
+func (x *exchange) recordAttempt(c routing.Choice, attempt Attempt, o outcome, started time.Time) {
 	now := time.Now()
-	t := try{
+	record := attemptRecord{
 		Endpoint: c.Member.ID, Reason: string(c.Reason), Outcome: o.kind.String(), TookMS: now.Sub(started).Milliseconds(),
 		Weights: c.Member.Endpoint.WeightVersion, ExpectedMS: c.TTFT.Milliseconds(), CachedTokens: c.CachedTokens,
-		Imported: strings.Join(sent.ImportFrom, ","), Saved: strings.Join(sent.ExportTo, ","),
+		Imported: strings.Join(attempt.ImportFrom, ","), Saved: strings.Join(attempt.ExportTo, ","),
 		Running: c.LoadSnapshot.Running, Queued: c.LoadSnapshot.Queued, Sent: c.LoadSnapshot.Sent, Own: c.LoadSnapshot.Own,
 		LoadAgeMS: c.LoadSnapshot.LoadAge.Milliseconds(), PeerRunning: c.LoadSnapshot.PeerRunning, PeerUnread: c.LoadSnapshot.PeerUnread,
 	}
-	t.Reused, t.Answered = x.trace.Reused, x.trace.Answered
+	record.Reused, record.Answered = x.trace.Reused, x.trace.Answered
 	if x.firstEventAt.After(started) {
-		t.FirstMS = x.firstEventAt.Sub(started).Milliseconds()
+		record.FirstMS = x.firstEventAt.Sub(started).Milliseconds()
 	}
 	if o.answer != nil {
-		t.Status = o.answer.status
-		if x.mayPassStatus(o.answer.status) {
+		record.Status = o.answer.status
+		if x.canForwardStatus(o.answer.status) {
 			x.lastFailure = o.answer
 		}
 	}
 	if o.err != nil {
-		t.Error = o.err.Error()
+		record.Error = o.err.Error()
 	}
-	x.tries = append(x.tries, t)
+	x.attempts = append(x.attempts, record)
 	x.g.count("attempts." + o.kind.String())
-	if len(x.tries) > 1 {
+	if len(x.attempts) > 1 {
 		x.g.count("retries")
 	}
-	x.g.judge(c, o, now)
+	x.g.reportOutcome(c, o, now)
 }
 
-// judge tells the directory how an endpoint did. Attempts that this process or the caller ended say nothing of it: an
+// reportOutcome tells the directory how an endpoint did. Attempts that this process or the caller ended say nothing of it: an
 // endpoint that hangs would stay in use if its callers' leaving counted as success.
-func (g *Gateway) judge(c routing.Choice, o outcome, now time.Time) {
+func (g *Gateway) reportOutcome(c routing.Choice, o outcome, now time.Time) {
 	if o.stopOrdered {
 		g.Directory.Release(c)
 		return
@@ -252,12 +252,12 @@
 
 // routingRequest is the decision's input that all attempts share.
 func (x *exchange) routingRequest() *routing.Request {
-	held, usual := x.call.PromptTokens+x.call.OutputTokens, 0
+	held, mean := x.call.PromptTokens+x.call.OutputTokens, 0
 	if held > 0 {
-		usual = x.g.promptSizes.take(x.route.Name, held)
+		mean = x.g.promptSizes.take(x.route.Name, held)
 	}
 	return &routing.Request{
-		PromptTokens: x.call.PromptTokens, Domain: x.g.Domain, HeldTokens: held, MeanHeldTokens: usual,
+		PromptTokens: x.call.PromptTokens, Domain: x.g.Domain, HeldTokens: held, MeanHeldTokens: mean,
 		SegmentsKnown: true, Urgency: x.urgency(), CrossDomainPenalty: crossDomainPenalty,
 		Objective: config.Objective{
 			TTFTMS: int(x.route.Objective.Milliseconds()), WeightTTFT: 1, WeightRecompute: recomputeWeight, WeightLink: linkWeight,
@@ -287,16 +287,16 @@
 	}
 }
 
-// sendFor says what an attempt at a chosen endpoint carries.
-func (x *exchange) sendFor(c routing.Choice, p promptContext) Attempt {
-	s := Attempt{Instance: c.Member.ID, TimeLeft: x.timeLeft(), Urgency: x.urgency(), LastEvent: x.call.LastEvent}
+// newAttempt says what an attempt at a chosen endpoint carries.
+func (x *exchange) newAttempt(c routing.Choice, p promptContext) Attempt {
+	a := Attempt{Instance: c.Member.ID, TimeLeft: x.timeLeft(), Urgency: x.urgency(), LastEvent: x.call.LastEvent}
 	if x.customer != nil {
-		s.Customer = x.customer.Name
+		a.Customer = x.customer.Name
 	}
 	if x.service.Engine != nil && p.keys != nil {
-		x.place(&s, p, c)
+		x.place(&a, p, c)
 	}
-	return s
+	return a
 }
 
 // priority is the customer's own, or else the route's; 0 is the highest.
--- a/internal/coordination/gateway/stale_test.go
+++ b/internal/coordination/gateway/stale_test.go
@@ -119,7 +119,7 @@
 		}
 	}
 	lines := logs.FilterMessage("request").All()
-	attempts := lines[1].ContextMap()["attempts"].([]try)
+	attempts := lines[1].ContextMap()["attempts"].([]attemptRecord)
 	if len(attempts) != 2 {
 		t.Fatalf("%d attempts", len(attempts))
 	}
--- a/internal/coordination/gateway/stream.go
+++ b/internal/coordination/gateway/stream.go
@@ -19,67 +19,67 @@
 
 // streamState is what the caller already has of a stream.
 type streamState struct {
-	// last is the id of the last event passed on, number its value.
-	last   string
-	number int64
+	// lastID is the id of the lastID event passed on, number its value.
+	lastID     string
+	lastNumber int64
 	// unresumable tells that the caller has bytes behind the last event with an id, or of an
 	// answer that is no stream: nothing can be joined to them.
 	unresumable bool
 }
 
-// errTorn marks a stream that ended inside an event.
-const errTorn = errors.ConstError("stream ended inside an event")
+// errTruncatedEvent marks a stream that ended inside an event.
+const errTruncatedEvent = errors.ConstError("stream ended inside an event")
 
-// maxEvent bounds one event of a stream.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event of a stream.
+const maxEventBytes = 1 << 20
 
 // streamAttempt runs a request whose answer is a stream, and passes its events on
 // as they come, each whole and once. After a broken attempt the next goes on
 // behind the last event passed on.
-func (x *exchange) streamAttempt(ctx context.Context, c routing.Choice, s Attempt) outcome {
+func (x *exchange) streamAttempt(ctx context.Context, c routing.Choice, a Attempt) outcome {
 	x.firstEventAt = time.Time{}
-	if x.stream.last != "" {
-		s.LastEvent = x.stream.last
+	if x.stream.lastID != "" {
+		a.LastEvent = x.stream.lastID
 	}
-	request := ctx
-	ctx, stop := x.withBeginDeadline(request, c)
+	requestCtx := ctx
+	ctx, stop := x.withBeginDeadline(requestCtx, c)
 	defer stop()
-	resp, reply, out := x.send(ctx, c, s)
+	resp, reply, out := x.send(ctx, c, a)
 	if resp == nil {
 		return out
 	}
 	defer resp.Close()
 	if reply.NotRun {
-		return x.rejectedBy(c, s, reply)
+		return x.handleRejection(c, a, reply)
 	}
-	if resp.Status != http.StatusOK || isDocument(resp.Header) {
-		return x.takeAnswer(ctx, resp)
+	if resp.Status != http.StatusOK || isJSON(resp.Header) {
+		return x.handleAnswer(ctx, resp)
 	}
 	x.g.Directory.RecordSent(c, x.startedAt)
-	x.relocation = x.watchRelocation(ctx, stop, c, s)
-	out = x.relay(ctx, c, resp)
+	x.relocation = x.watchRelocation(ctx, stop, c, a)
+	out = x.relayEvents(ctx, c, resp)
 	next, moved := x.relocation.outcome()
 	switch {
 	case !moved:
 		return x.relocation.judge(out, resp)
-	case request.Err() != nil:
+	case requestCtx.Err() != nil:
 		x.abandon(next)
-		out = x.classifyError(request, request.Err())
+		out = x.classifyError(requestCtx, requestCtx.Err())
 		out.stopOrdered = true
 		return out
 	}
 	return outcome{kind: relocated, next: next}
 }
 
-// isDocument tells a whole answer from a stream. Other types don't tell: a server that names none has one guessed.
-func isDocument(h http.Header) bool {
+// isJSON tells a whole answer from a stream. Other types don't tell: a server that names none has one guessed.
+func isJSON(h http.Header) bool {
 	mediaType, _, _ := mime.ParseMediaType(h.Get("Content-Type"))
 	return mediaType == "application/json"
 }
 
-// errReplacedWeights ends an attempt that has not begun when its endpoint's weights
+// errWeightsReplaced ends an attempt that has not begun when its endpoint's weights
 // may not be used any more.
-const errReplacedWeights = errors.ConstError("the endpoint's weights were replaced before it began")
+const errWeightsReplaced = errors.ConstError("the endpoint's weights were replaced before it began")
 
 // withBeginDeadline ends an attempt that has not begun when its request turns out to crash endpoints, and one at replaced
 // weights that does not begin before their time is up. Endpoints that load others are the fullest: a request may wait in one
@@ -89,7 +89,7 @@
 	unwatch := x.callBackWhenBlamed(cancel)
 	x.onStreamBegun = unwatch
 	if left, limited := x.g.State.BeginLeft(c.Member.ID); limited {
-		timer := time.AfterFunc(max(0, left), func() { cancel(errReplacedWeights) })
+		timer := time.AfterFunc(max(0, left), func() { cancel(errWeightsReplaced) })
 		x.onStreamBegun = func() {
 			timer.Stop()
 			unwatch()
@@ -101,19 +101,19 @@
 	}
 }
 
-// relay passes events on until the stream ends.
-func (x *exchange) relay(ctx context.Context, c routing.Choice, resp *upstream.Response) outcome {
+// relayEvents passes events on until the stream ends.
+func (x *exchange) relayEvents(ctx context.Context, c routing.Choice, resp *upstream.Response) outcome {
 	reader := bufio.NewReader(resp)
-	flush := http.NewResponseController(x.w)
+	controller := http.NewResponseController(x.w)
 	for {
 		event, err := readEvent(reader)
 		if err == io.EOF {
-			return x.endOfStream(resp)
+			return x.finishStream(resp)
 		}
 		if err != nil {
 			return x.classifyError(ctx, err)
 		}
-		if !x.stream.take(event) {
+		if !x.stream.advance(event) {
 			continue
 		}
 		if x.firstEventAt.IsZero() {
@@ -125,32 +125,32 @@
 			}
 		}
 		x.relocation.begun.Store(true)
-		x.beginStream(resp)
+		x.writeStreamHead(resp)
 		if _, err := x.w.Write(event); err != nil {
 			return outcome{kind: callerLeft, err: err}
 		}
-		if err := flush.Flush(); err != nil {
+		if err := controller.Flush(); err != nil {
 			return outcome{kind: callerLeft, err: err}
 		}
 	}
 }
 
-// beginStream passes the head on with the first event: until then another
+// writeStreamHead passes the head on with the first event: until then another
 // endpoint may still be asked as if nothing had happened.
-func (x *exchange) beginStream(resp *upstream.Response) {
+func (x *exchange) writeStreamHead(resp *upstream.Response) {
 	if x.headWritten {
 		return
 	}
 	x.writeHead(resp.Status, resp.Header, -1)
 }
 
-func (x *exchange) endOfStream(resp *upstream.Response) outcome {
-	x.beginStream(resp)
+func (x *exchange) finishStream(resp *upstream.Response) outcome {
+	x.writeStreamHead(resp)
 	return outcome{kind: delivered}
 }
 
-// take tells whether an event is new to the caller, and counts it as passed on.
-func (st *streamState) take(event []byte) bool {
+// advance tells whether an event is new to the caller, and counts it as passed on.
+func (st *streamState) advance(event []byte) bool {
 	id, ok := eventID(event)
 	if !ok {
 		st.unresumable = st.unresumable || !isComment(event)
@@ -158,12 +158,12 @@
 	}
 	number, err := strconv.ParseInt(id, 10, 64)
 	if err == nil {
-		if st.last != "" && number <= st.number {
+		if st.lastID != "" && number <= st.lastNumber {
 			return false
 		}
-		st.number = number
+		st.lastNumber = number
 	}
-	st.last, st.unresumable = id, false
+	st.lastID, st.unresumable = id, false
 	return true
 }
 
@@ -191,27 +191,27 @@
 // only between events.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
-	for len(event) <= maxEvent {
+	for len(event) <= maxEventBytes {
 		line, err := r.ReadSlice('\n')
 		event = append(event, line...)
 		switch {
 		case err == bufio.ErrBufferFull:
 			continue
 		case err == io.EOF && len(event) > 0:
-			return nil, errTorn
+			return nil, errTruncatedEvent
 		case err != nil:
 			return nil, err
 		}
-		if len(bytes.TrimRight(line, "\r\n")) == 0 && endsLine(event, line) {
+		if len(bytes.TrimRight(line, "\r\n")) == 0 && isWholeLine(event, line) {
 			return event, nil
 		}
 	}
 	return nil, errors.New("event is too large")
 }
 
-// endsLine tells whether line, the end of event, is a line of its own and not the
+// isWholeLine tells whether line, the end of event, is a line of its own and not the
 // tail of one that did not fit the buffer.
-func endsLine(event, line []byte) bool {
+func isWholeLine(event, line []byte) bool {
 	before := event[:len(event)-len(line)]
 	return len(before) == 0 || before[len(before)-1] == '\n'
 }
