--- a/internal/coordination/runs/atmostonce.go
+++ b/internal/coordination/runs/atmostonce.go
@@ -22,14 +22,14 @@
 	"limpetwall/internal/transport/rpc"
 )
 
-// Binder binds a caller's own key to a ticket.
+// Binder binds an idempotency key that the caller chose to a ticket.
 type Binder interface {
 	Bind(ctx context.Context, key claims.Key, proposed claims.Ticket) (claims.Ticket, error)
 }
 
-// runAtMostOnce carries out a request that may not be repeated. Its ticket names the
-// one agent incarnation that may run it; whatever fails, only that incarnation
-// is asked again, and it answers from its record.
+// runAtMostOnce executes a request that must not be repeated. Its ticket names the one agent
+// incarnation that may run it. Whatever fails, only that incarnation is asked again, and it
+// answers from its record.
 func (r *Runner) runAtMostOnce(ctx context.Context, job *Job, p *progress) (Result, *apierror.Error) {
 	if job.IdempotencyKey != "" {
 		return r.runKeyed(ctx, job, p)
@@ -63,14 +63,15 @@
 		if out.ran != wire.Ran_RAN_NO || out.clientGone {
 			return Result{}, out.atMostOnceError(p, false)
 		}
-		// Proven not run: another endpoint may run it under another ticket.
+		// It provably did not run, so another endpoint may run it under another ticket.
 		last = out
 		request.Exclude = append(request.Exclude, choice.Member.ID)
 	}
 	return Result{}, last.retryLaterError(p, "all attempts failed")
 }
 
-// runKeyed finds the ticket that the caller's key stands for.
+// runKeyed executes a request that must not be repeated, with the caller's idempotency key. The
+// key either is a ticket itself or is bound to one.
 func (r *Runner) runKeyed(ctx context.Context, job *Job, p *progress) (Result, *apierror.Error) {
 	ticket, isTicket := ParseTicketKey(job.Customer, job.Service.ID, job.IdempotencyKey)
 	if strings.HasPrefix(job.IdempotencyKey, ticketPrefix) && !isTicket {
@@ -95,14 +96,15 @@
 	case out == nil:
 		return result, nil
 	case ctx.Err() != nil && !out.hasPrecedence(ctx, p):
-		// An earlier call with the same key may have run, whatever became of this one.
+		// An earlier call with the same key may have run, whatever the outcome of this one.
 		return Result{}, contextError(ctx, p, apierror.RanUnknown)
 	default:
 		return Result{}, out.atMostOnceError(p, true)
 	}
 }
 
-// bindKey proposes a ticket of a well-chosen endpoint for the caller's key.
+// bindKey returns the ticket that the caller's key is bound to. If the key is new, that is a
+// ticket of an endpoint that routing has chosen.
 func (r *Runner) bindKey(ctx context.Context, job *Job) (claims.Ticket, *apierror.Error) {
 	request := r.newRoutingRequest(job, nil)
 	var lastErr error
@@ -121,7 +123,7 @@
 		}
 		return r.bindKeyTo(ctx, job, proposed)
 	}
-	// Without an endpoint to propose, the key may still be bound already.
+	// There is no ticket to propose, but the key may already be bound.
 	ticket, e := r.bindKeyTo(ctx, job, claims.Ticket{})
 	if e == nil && ticket == (claims.Ticket{}) {
 		message := "no endpoint serves this now"
@@ -144,14 +146,14 @@
 		return ticket, apierror.Later(http.StatusServiceUnavailable, apierror.CodeKeyStoreFull,
 			"no room for more idempotency keys", time.Minute).WithRan(apierror.RanUnknown, apierror.AdviceSameKey)
 	default:
-		// An earlier try under this key may have run; this one did not.
+		// An earlier call with this key may have run; this one did not.
 		return ticket, apierror.Later(http.StatusServiceUnavailable, apierror.CodePlatform,
 			"the key could not be looked up, so this call ran nothing; an earlier call with the same key may have. Tickets work without the platform: "+err.Error(),
 			2*time.Second).WithRan(apierror.RanUnknown, apierror.AdviceSameKey)
 	}
 }
 
-// liveAgent finds the live member with an incarnation.
+// liveAgent returns the live agent with the given incarnation, if there is one.
 func (r *Runner) liveAgent(incarnation uint64) (fleet.Member, bool) {
 	for _, m := range r.Table.Live() {
 		if m.Incarnation == incarnation && m.Role == fleet.RoleAgent {
@@ -161,9 +163,9 @@
 	return fleet.Member{}, false
 }
 
-// runWithTicket sends a ticket's request and reattaches after each break, until the
-// agent has given its answer, is gone, or the time is up. It returns a nil
-// outcome with a result.
+// runWithTicket sends a request with its ticket and reattaches after each broken stream, until the
+// agent has answered, the agent or the caller is gone, or ctx has ended. The outcome is nil if the
+// answer is complete.
 func (r *Runner) runWithTicket(ctx context.Context, job *Job, c routing.Choice, t claims.Ticket, p *progress) (Result, *outcome) {
 	sent := false
 	ticket := &wire.Ticket{Incarnation: t.Incarnation, Sequence: t.Sequence}
@@ -173,7 +175,7 @@
 			return out.result(number, c), nil
 		}
 		if sent && !out.sent {
-			// This try did not reach the agent, but an earlier one may have.
+			// This attempt did not reach the agent, but an earlier one may have.
 			out.ran = wire.Ran_RAN_UNKNOWN
 		}
 		sent = sent || out.sent
@@ -184,7 +186,7 @@
 	}
 }
 
-// isFinal tells whether asking the same agent again could bring anything new.
+// isFinal reports whether asking the same agent again can bring no new result.
 func (r *Runner) isFinal(out *outcome, c routing.Choice) bool {
 	switch out.code {
 	case "stream_broke":
@@ -206,9 +208,8 @@
 
 var ticketEncoding = base32.StdEncoding.WithPadding(base32.NoPadding)
 
-// TicketKey is the form in which a caller gets a ticket to use as its
-// idempotency key. The MAC is under the customer's salt: nobody can use up
-// another customer's tickets.
+// TicketKey encodes a ticket as an idempotency key for a caller. The MAC is keyed with the
+// customer's salt, so that nobody can use up another customer's tickets.
 func TicketKey(c *config.Customer, service string, t claims.Ticket) string {
 	raw := binary.BigEndian.AppendUint64(nil, t.Incarnation)
 	raw = binary.BigEndian.AppendUint64(raw, t.Sequence)
@@ -223,8 +224,8 @@
 	return mac.Sum(nil)[:ticketMACSize]
 }
 
-// ParseTicketKey reads a TicketKey; false if it is none or was not issued to
-// this customer and service.
+// ParseTicketKey decodes a key made by TicketKey. It returns false if the key is no ticket or was
+// not issued to this customer and service.
 func ParseTicketKey(c *config.Customer, service, key string) (claims.Ticket, bool) {
 	text, ok := strings.CutPrefix(key, ticketPrefix)
 	if !ok {
@@ -241,21 +242,22 @@
 }
 
 const (
-	// ticketBatch tickets are fetched from an agent at once.
+	// ticketBatch is the number of tickets fetched from an agent at once.
 	ticketBatch = 32
-	// ticketMargin is left of a ticket's validity when it is used.
+	// ticketMargin is the validity that a ticket still has, at least, when it is handed out.
 	ticketMargin = time.Minute
 )
 
-// TicketPool keeps some tickets of each agent at hand.
+// TicketPool caches unused tickets of each agent.
 type TicketPool struct {
 	pool   *rpc.Pool
 	mu     sync.Mutex
 	ranges map[uint64]*ticketRange
 }
 
+// ticketRange holds the unused tickets of one agent incarnation: next up to, but not including, end.
 type ticketRange struct {
-	// mu serializes the refills of one agent.
+	// mu is held during a refill: each agent has at most one at a time.
 	mu      sync.Mutex
 	next    uint64
 	end     uint64
@@ -267,7 +269,8 @@
 	return &TicketPool{pool: pool, ranges: map[uint64]*ticketRange{}}
 }
 
-// Acquire returns an unused ticket of a member, fetching more when it has none.
+// Acquire returns an unused ticket of a member. It fetches new ones when none is left or they
+// expire soon.
 func (t *TicketPool) Acquire(ctx context.Context, m fleet.Member) (claims.Ticket, error) {
 	tr := t.rangeOf(m.Incarnation)
 	tr.mu.Lock()
@@ -315,11 +318,11 @@
 	return nil
 }
 
-// MinTicketValidity is how long a ticket given to a caller may at least be used.
+// MinTicketValidity is the shortest time for which a ticket given to a caller can be used.
 const MinTicketValidity = ticketMargin
 
-// IssueTicket returns a ticket of a well-chosen endpoint, for a caller to use as
-// its idempotency key.
+// IssueTicket returns a ticket of an endpoint that routing has chosen, for a caller to use as its
+// idempotency key.
 func (r *Runner) IssueTicket(ctx context.Context, c *config.Customer, s *config.Service) (string, *apierror.Error) {
 	request := &routing.Request{Objective: s.Objective, Domain: r.Table.Self().Domain}
 	for range maxAttempts {
@@ -338,7 +341,7 @@
 	return "", apierror.Later(http.StatusServiceUnavailable, apierror.CodeNoEndpoint, "no endpoint gives tickets now", time.Second)
 }
 
-// Prune drops the tickets of incarnations that are no longer live.
+// Prune discards the tickets of incarnations that are no longer live.
 func (t *TicketPool) Prune(live func(incarnation uint64) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/coordination/runs/attempt.go
+++ b/internal/coordination/runs/attempt.go
@@ -12,7 +12,7 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// attempt is one try at one endpoint.
+// attempt is one attempt of a request, at one endpoint.
 type attempt struct {
 	runner   *Runner
 	job      *Job
@@ -21,7 +21,8 @@
 	ticket   *wire.Ticket
 	progress *progress
 	cancel   context.CancelCauseFunc
-	// resumeTokens and skip are what the caller had when the attempt began.
+	// resumeTokens are the tokens, and skipBytes the number of body bytes, that the caller had
+	// when the attempt was created.
 	resumeTokens []string
 	skipBytes    int
 	// offset is the index of the next token of this attempt's stream.
@@ -57,8 +58,8 @@
 	}
 }
 
-// notReachedOutcome ends an attempt before anything was sent. One that was ended while it
-// connected says nothing about its endpoint, nor about the round.
+// notReachedOutcome is the outcome of an attempt that sent nothing. One that was canceled while it
+// connected, because the other attempt was faster, says nothing about its endpoint or the round.
 func notReachedOutcome(ctx context.Context, err error) *outcome {
 	if errors.Is(context.Cause(ctx), errHedgeLost) {
 		return hedgeLostOutcome()
@@ -85,8 +86,8 @@
 		MaxTokens: a.job.Prompt.GetMaxTokens(), Seed: a.job.Prompt.GetSeed(), Priority: a.job.Prompt.GetPriority(),
 		CacheSalt: a.job.Customer.Salt, Parameters: a.job.Prompt.GetParameters(),
 	}
-	// The version is pinned when the request is admitted: an endpoint that swaps
-	// before the prompt arrives refuses it, and the entry decides anew.
+	// The version is pinned when the endpoint is chosen: an endpoint that swaps its weights
+	// before the prompt arrives refuses it, and the entry chooses again.
 	prompt.WeightVersion = a.choice.Member.Endpoint.WeightVersion
 	if a.ticket == nil {
 		prompt.ResumeTokens = a.resumeTokens
@@ -96,7 +97,7 @@
 	return r
 }
 
-// brokenOutcome ends an attempt whose stream ended without a final event.
+// brokenOutcome is the outcome of an attempt whose stream ended without a final event.
 func (a *attempt) brokenOutcome(ctx context.Context, err error) *outcome {
 	out := &outcome{endpointFailed: true, sent: true, ran: wire.Ran_RAN_UNKNOWN, code: "stream_broke", message: err.Error()}
 	switch cause := context.Cause(ctx); {
@@ -105,7 +106,7 @@
 	case errors.Is(cause, errEndpointGone):
 		out.code, out.message = "endpoint_gone", cause.Error()
 	case cause != nil:
-		// The caller left or the time is up; the endpoint is not to blame.
+		// The caller left, the deadline passed or this entry stops: the endpoint did not fail.
 		out.endpointFailed, out.message = false, cause.Error()
 	case errors.Is(err, io.EOF):
 		out.message = "stream ended without an answer"
@@ -113,11 +114,11 @@
 	return out
 }
 
-// handle handles one event; a non-nil outcome ends the attempt.
+// handle processes one event; a non-nil outcome ends the attempt.
 func (a *attempt) handle(e *wire.RunEvent) *outcome {
 	if e.GetRequestId() != a.job.RequestID || e.GetAttempt() != a.number {
-		// A late or crossed answer belongs to another attempt: it must never
-		// reach this caller.
+		// A late or misdirected event belongs to another attempt and must never reach this
+		// caller.
 		return nil
 	}
 	if l := e.GetLoad(); l != nil {
@@ -175,9 +176,9 @@
 	return nil
 }
 
-// handleTokens delivers each token once and in order. A resumed or replayed stream
-// may repeat what the caller has; a gap means that something was lost, and the
-// attempt is given up rather than passed on with a hole.
+// handleTokens delivers each token once and in order. A resumed or replayed stream may repeat
+// tokens that the caller has. A gap means that tokens were lost: the attempt fails, so that the
+// caller does not get an answer with tokens missing.
 func (a *attempt) handleTokens(t *wire.Tokens) *outcome {
 	p := a.progress
 	if int(t.GetOffset()) != a.offset {
@@ -197,7 +198,8 @@
 }
 
 func (a *attempt) handleHead(h *wire.PlainHead) *outcome {
-	// A replay from a ticket's record repeats the head, marked as replayed.
+	// A replay from the agent's record repeats the head, marked as replayed; the caller has one
+	// already.
 	if a.progress.headSent && (a.ticket != nil || a.progress.bodyBytes > 0) {
 		return nil
 	}
@@ -223,7 +225,7 @@
 	return nil
 }
 
-// handleFinished accepts the end only if every token before it has arrived.
+// handleFinished accepts the end of an answer only if all of its tokens have arrived.
 func (a *attempt) handleFinished(f *wire.Finished) *outcome {
 	if a.job.Prompt != nil && int(f.GetCompletionTokens()) != len(a.progress.tokens) {
 		return &outcome{endpointFailed: true, sent: true, ran: wire.Ran_RAN_YES, code: "token_gap", message: "the answer ended before all its tokens arrived"}
--- a/internal/coordination/runs/crash.go
+++ b/internal/coordination/runs/crash.go
@@ -9,7 +9,7 @@
 	"limpetwall/internal/state/fingerprint"
 )
 
-// fingerprint names the request by what it asks. Its digest stands for path and body.
+// fingerprint identifies the request by its content: its digest covers path and body.
 func (j *Job) fingerprint() fingerprint.Key {
 	return fingerprint.Of(fingerprint.Request{Customer: j.Customer.ID, Host: j.Service.ID}, j.Digest)
 }
@@ -23,8 +23,8 @@
 	return about
 }
 
-// checkQuarantine refuses a request that crashes endpoints. Of one with a key an earlier call may have run, though this
-// one did not.
+// checkQuarantine refuses a request that crashes endpoints. If it has an idempotency key, an earlier
+// call may have run, though this one did not.
 func (r *Runner) checkQuarantine(ctx context.Context, job *Job) *apierror.Error {
 	if r.Guard.IsIdle() {
 		return nil
@@ -36,7 +36,7 @@
 	return refusal
 }
 
-// reportToGuard tells the guard how an attempt ended.
+// reportToGuard reports to the guard how an attempt ended.
 func (r *Runner) reportToGuard(a *attempt, out *outcome, sent time.Time) {
 	switch {
 	case r.Guard == nil:
--- a/internal/coordination/runs/crash_test.go
+++ b/internal/coordination/runs/crash_test.go
@@ -14,7 +14,7 @@
 	"limpetwall/internal/transport/objectapi/standin"
 )
 
-// endpointCrashed is an agent's word of an endpoint's crash.
+// endpointCrashed returns the event with which an agent reports that its endpoint crashed.
 func endpointCrashed(incarnation uint64) *wire.RunEvent {
 	e := refused("endpoint_stream_broke", wire.Ran_RAN_UNKNOWN)
 	e.GetRefused().Crashed = incarnation
@@ -26,8 +26,8 @@
 	return r
 }
 
-// TestCrashingRequestIsQuarantined guards against a request whose attempts go on crashing endpoints, and against another being
-// refused for it.
+// TestCrashingRequestIsQuarantined guards against a request whose attempts continue to crash endpoints,
+// and against another request being refused because of it.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	r, fake := newRunner(t, 5, func(n int, r *wire.RunRequest) []*wire.RunEvent {
 		if r.GetPrompt().GetText() == "poison" {
@@ -42,7 +42,7 @@
 		t.Errorf("%+v", err)
 	}
 	if got := fake.callCount(); got != 3 {
-		t.Errorf("%d endpoints crashed", got)
+		t.Errorf("%d endpoints crashed, want 3", got)
 	}
 	_, err := r.Run(t.Context(), poison, &recordingSink{})
 	if err == nil || err.Code != apierror.CodeQuarantined || err.Status != http.StatusServiceUnavailable || err.Ran != apierror.RanNo || err.Retry.AfterMS <= 0 {
@@ -50,19 +50,20 @@
 	}
 	poison.IdempotencyKey = "key"
 	if _, err := r.Run(t.Context(), poison, &recordingSink{}); err == nil || err.Ran != apierror.RanUnknown || err.Retry.Advice != apierror.AdviceSameKey {
-		t.Errorf("with a key, under which it may have run: %+v", err)
+		t.Errorf("with a key, under which it may have run: got error %+v", err)
 	}
 	if got := fake.callCount(); got != 3 {
-		t.Errorf("%d endpoints reached", got)
+		t.Errorf("%d endpoints reached, want 3", got)
 	}
 	other := promptJob()
 	other.Digest = []byte("other")
 	if _, err := r.Run(t.Context(), other, &recordingSink{}); err != nil {
-		t.Errorf("another request: %+v", err)
+		t.Errorf("another request: got error %+v", err)
 	}
 }
 
-// TestBrokenStreamIsNotBlamed guards against a request being refused whose streams broke while its endpoints lived.
+// TestBrokenStreamIsNotBlamed guards against refusing a request whose streams broke though its
+// endpoints did not crash.
 func TestBrokenStreamIsNotBlamed(t *testing.T) {
 	r, _ := newRunner(t, 5, func(_ int, r *wire.RunRequest) []*wire.RunEvent {
 		return []*wire.RunEvent{eventFor(r, refused("endpoint_stream_broke", wire.Ran_RAN_UNKNOWN))}
@@ -70,11 +71,12 @@
 	withGuard(r)
 	r.Run(t.Context(), promptJob(), &recordingSink{})
 	if !r.Guard.IsIdle() {
-		t.Error("it is blamed for a crash")
+		t.Error("the request is blamed for a crash")
 	}
 }
 
-// TestSuspectIsNotHedged guards against a second attempt beside one that is late because it is crashing its endpoint.
+// TestSuspectIsNotHedged guards against a second attempt of a request whose first one is late because
+// it is crashing its endpoint.
 func TestSuspectIsNotHedged(t *testing.T) {
 	r, _ := newRunner(t, 3, nil)
 	withGuard(r)
@@ -83,10 +85,10 @@
 	rd.request.Now = time.Now()
 	first := rd.p.startRound(r, job, r.Directory.Choose("s", nil, rd.request), 1, nil)
 	if r.newHedge(rd, first) == nil {
-		t.Fatal("no hedge without suspicion")
+		t.Fatal("got no second attempt of a request that is no suspect")
 	}
 	r.Guard.Blame(quarantine.Run{Key: job.fingerprint(), Sent: time.Now().Add(-time.Second)}, 1, time.Now())
 	if r.newHedge(rd, first) != nil {
-		t.Error("a suspect is hedged")
+		t.Error("got a second attempt of a suspect")
 	}
 }
--- a/internal/coordination/runs/errors.go
+++ b/internal/coordination/runs/errors.go
@@ -12,7 +12,7 @@
 	"limpetwall/internal/protocol/wire"
 )
 
-// ErrStopping is the cause of contexts ended by a forced shutdown.
+// ErrStopping is the cancellation cause of contexts that a forced shutdown ends.
 const ErrStopping = errors.ConstError("the process is stopping")
 
 func ranFromWire(r wire.Ran) apierror.Ran {
@@ -26,13 +26,13 @@
 	}
 }
 
-// withMergedRan is the outcome with what it and another one of the same request tell together
-// about execution; other may be nil.
+// withMergedRan returns the outcome with ran merged from it and from another outcome of the same
+// request; other may be nil.
 //
-// Each outcome speaks for its own attempt only. If the last one spoke for the request, an
-// endpoint that refuses after another one's answer was lost would have the caller told "not
-// run" of a request that may have run. "No" is kept only where both say so, and "yes" where
-// either does.
+// Each outcome reports on its own attempt only. If the last one were reported for the whole
+// request, a refusal by one endpoint after another one's answer was lost would become "not run"
+// for a request that may have run. The merged value is "no" only if both are, and "yes" if either
+// is.
 func (o *outcome) withMergedRan(other *outcome) *outcome {
 	if other == nil || o.done || o.ran == other.ran {
 		return o
@@ -45,7 +45,7 @@
 	return &merged
 }
 
-// statusByCode maps the codes that agents raise to HTTP; others are 503 if the
+// statusByCode maps codes of agents' refusals to HTTP status codes. Other codes are 503 if the
 // request did not run and 502 if it may have.
 var statusByCode = map[string]int{
 	"key_used_for_other_request": http.StatusConflict,
@@ -55,7 +55,8 @@
 	"bad_request":                http.StatusBadRequest,
 }
 
-// retryLaterError is the answer to a repeatable request that is given up on.
+// retryLaterError is the final error with the advice to retry after a delay. It is for services
+// whose requests may be repeated, and for requests that provably did not run.
 func (o *outcome) retryLaterError(p *progress, why string) *apierror.Error {
 	if p.started || p.headSent {
 		return o.streamLostError(why)
@@ -74,14 +75,14 @@
 	return e
 }
 
-// streamLostError is the answer after part of it has been delivered.
+// streamLostError is the final error once the answer has begun.
 func (o *outcome) streamLostError(why string) *apierror.Error {
 	e := apierror.Later(http.StatusBadGateway, apierror.CodeStreamLost, "the answer broke off: "+why+" "+o.message, 200*time.Millisecond)
 	e.Ran = apierror.RanYes
 	return e
 }
 
-// atMostOnceError is the answer to a request that may not be repeated.
+// atMostOnceError is the final error of a request that must not be repeated.
 func (o *outcome) atMostOnceError(p *progress, keyed bool) *apierror.Error {
 	status, ok := statusByCode[o.code]
 	if !ok {
@@ -117,27 +118,28 @@
 	return apierror.Later(http.StatusServiceUnavailable, apierror.CodeNoEndpoint, "no endpoint serves this now", time.Second)
 }
 
-// hasPrecedence tells whether the caller is told of an outcome though the request's context has
-// ended meanwhile.
+// hasPrecedence reports whether the caller receives this outcome although the request's context
+// has ended meanwhile.
 //
-// What an endpoint has said for certain goes first: the end of the time, or of this entry,
-// would only replace "not run" or "fix the request" by "unknown". A caller that left reads
-// neither, and its request must not be booked as one that the service failed.
+// A conclusive report from an endpoint takes precedence: the error for the deadline, or for this
+// entry's shutdown, would only replace "not run" or "fix the request" by "unknown". A caller that
+// left reads neither, and its request must not be counted as one that the service failed.
 func (o *outcome) hasPrecedence(ctx context.Context, p *progress) bool {
 	cause := context.Cause(ctx)
 	callerWaits := errors.Is(cause, context.DeadlineExceeded) || errors.Is(cause, ErrStopping)
 	return callerWaits && o.isConclusive() && !p.started && !p.headSent
 }
 
-// isConclusive tells whether an agent has said what became of the request, so that asking on
-// would bring nothing else. A stream that broke at the agent is none: the same end of the
-// context may have broken it.
+// isConclusive reports whether an agent has reported what became of the request, so that asking
+// again would change nothing. A stream that broke at the agent is not conclusive: the end of the
+// same context may have broken it.
 func (o *outcome) isConclusive() bool {
 	_, known := statusByCode[o.code]
 	return o.refused && (o.ran == wire.Ran_RAN_NO || known)
 }
 
-// contextError is the answer when the request's time is up or its caller left.
+// contextError is the final error of a request whose context has ended: its deadline passed, this
+// entry is stopping, or its caller left.
 func contextError(ctx context.Context, p *progress, ran apierror.Ran) *apierror.Error {
 	if p.started || p.headSent {
 		ran = apierror.RanYes
--- a/internal/coordination/runs/hedge.go
+++ b/internal/coordination/runs/hedge.go
@@ -12,14 +12,14 @@
 	"limpetwall/internal/state/contextkey"
 )
 
-// errHedgeLost ends the attempt that the other one was faster than.
+// errHedgeLost is the cancellation cause of an attempt whose round another one won.
 const errHedgeLost = errors.ConstError("another attempt was faster")
 
-// hedgeFactor times the expected time to first token is waited for it.
+// hedgeFactor is the multiple of the expected time to first token after which a first token is late.
 const hedgeFactor = 3
 
-// startRound starts a round with one attempt. What the caller already has is
-// noted now: the attempt must not look at it while another may write.
+// startRound begins a round with one attempt. What the caller already has is recorded in the attempt
+// now, because it must not read the progress while another attempt may write to it.
 func (p *progress) startRound(r *Runner, job *Job, c routing.Choice, number uint32, ticket *wire.Ticket) *attempt {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -27,8 +27,8 @@
 	return p.addLocked(&attempt{runner: r, job: job, choice: c, number: number, ticket: ticket, progress: p})
 }
 
-// addHedge adds a second attempt to the round; nil if the first has brought
-// something meanwhile.
+// addHedge adds a second attempt to the round. It returns nil if the first has become the owner
+// meanwhile.
 func (p *progress) addHedge(first *attempt, c routing.Choice, number uint32) *attempt {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,14 +38,16 @@
 	return p.addLocked(&attempt{runner: first.runner, job: first.job, choice: c, number: number, progress: p})
 }
 
+// addLocked adds an attempt to the round; p.mu is held.
 func (p *progress) addLocked(a *attempt) *attempt {
 	a.resumeTokens, a.skipBytes = p.tokens, p.bodyBytes
 	p.attempts = append(p.attempts, a)
 	return a
 }
 
-// claim makes an attempt the owner, if none is, and ends the others. Only the
-// owner's events reach the caller: two streams would be mixed otherwise.
+// claim makes an attempt the owner, if there is none, and cancels the others. It reports whether
+// the attempt is the owner. Only the owner's events reach the caller: two streams would be mixed
+// otherwise.
 func (p *progress) claim(a *attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +69,8 @@
 	return p.owner == a
 }
 
-// setCancel lets the owner end this attempt; if there is one already, at once.
+// setCancel sets the function with which the owner cancels this attempt. If another attempt is the
+// owner already, it is called at once.
 func (a *attempt) setCancel(cancel context.CancelCauseFunc) {
 	p := a.progress
 	p.mu.Lock()
@@ -78,14 +81,15 @@
 	}
 }
 
-// round is one attempt, with a second beside it if the first token is late.
+// round is one attempt, hedged by a second one if the first token is late.
 type round struct {
 	job     *Job
 	keys    []contextkey.Key
 	request *routing.Request
 	number  uint32
 	p       *progress
-	// failedMembers are the members at which an attempt ended without being stopped for the other.
+	// failedMembers are the members at which an attempt ended other than by losing to the other
+	// one.
 	failedMembers []string
 }
 
@@ -95,10 +99,10 @@
 	out     *outcome
 }
 
-// runRound runs an attempt. A prompt whose first token takes several times longer
-// than expected gets a second attempt at another endpoint, within the retry
-// budget: a paused or overloaded endpoint is left seconds before membership knows.
-// It returns the outcome that counts, its choice and number.
+// runRound runs an attempt. A prompt whose first token takes several times longer than expected gets
+// a second attempt at another endpoint, within the retry budget: this leaves a paused or overloaded
+// endpoint seconds before membership detects it. It returns the outcome that decides the round, with
+// its choice and attempt number.
 func (r *Runner) runRound(ctx context.Context, rd *round, choice routing.Choice) (*outcome, routing.Choice, uint32) {
 	results := make(chan attemptResult, 2)
 	start := func(a *attempt) {
@@ -132,8 +136,9 @@
 	return last.out, last.attempt.choice, max(rd.number, last.attempt.number)
 }
 
-// reportToDirectory has the directory learn of an attempt's end. One that was stopped as the other was sooner says nothing about its
-// endpoint: counted as a success, it would keep one that hangs from being taken out.
+// reportToDirectory reports the end of an attempt to the directory. An attempt that was canceled
+// because the other one was faster says nothing about its endpoint: counted as a success, it would
+// keep an endpoint that hangs from being ejected.
 func (r *Runner) reportToDirectory(a *attempt, out *outcome) {
 	if out.isHedgeLoser() {
 		r.Directory.Release(a.choice)
@@ -142,12 +147,12 @@
 	r.Directory.Done(a.choice, out.endpointFailed, time.Now())
 }
 
-// isHedgeLoser tells that the attempt was stopped as the other of its round was sooner.
+// isHedgeLoser reports whether the attempt was canceled because the other one of its round was faster.
 func (o *outcome) isHedgeLoser() bool { return errors.Is(o.cause, errHedgeLost) }
 
-// pickResult is the end that counts after another attempt of the round has ended: the owner's,
-// whatever the other says after it, or else the later. What it tells about execution is told
-// for both.
+// pickResult returns the result that decides the round after another of its attempts has ended: the
+// owner's, whatever the other attempt reports after it, or else the later one. Its ran is merged
+// from both.
 func (p *progress) pickResult(earlier, later attemptResult) attemptResult {
 	if earlier.attempt == nil {
 		return later
@@ -158,8 +163,9 @@
 	return attemptResult{later.attempt, later.out.withMergedRan(earlier.out)}
 }
 
-// hedgeTimer fires when the first token is late; never for runs that must not be
-// doubled or have begun.
+// hedgeTimer returns a timer that fires when the first token is late. With hedging disabled, and for
+// plain calls, which must not run twice at once, it is set to a day, so that it never fires in
+// practice.
 func (r *Runner) hedgeTimer(rd *round, choice routing.Choice) *time.Timer {
 	wait := max(r.HedgeAfter, hedgeFactor*choice.TTFT)
 	if r.HedgeAfter == 0 || rd.job.Prompt == nil {
@@ -168,11 +174,11 @@
 	return time.NewTimer(wait)
 }
 
-// newHedge prepares a second attempt, or returns nil if there is no need, no budget
-// or no other endpoint.
+// newHedge returns a second attempt for the round. It returns nil if the answer has begun, if the
+// request is suspected of crashing its endpoint, or if no budget or no other endpoint is left.
 func (r *Runner) newHedge(rd *round, first *attempt) *attempt {
 	if r.Guard.IsSuspect(rd.job.fingerprint()) {
-		// It may be late because it is crashing its endpoint.
+		// The first token may be late because the request is crashing its endpoint.
 		return nil
 	}
 	request := *rd.request
@@ -182,7 +188,7 @@
 	if choice.Member.ID == "" {
 		return nil
 	}
-	// As for retries, the budget pays only for attempts that are made.
+	// As for retries, the budget is spent only on attempts that are made.
 	if !r.Budget.Spend() {
 		r.Directory.Release(choice)
 		return nil
--- a/internal/coordination/runs/hedge_test.go
+++ b/internal/coordination/runs/hedge_test.go
@@ -10,14 +10,15 @@
 	"limpetwall/internal/protocol/wire"
 )
 
-// TestOwnerFailsAfterClaim guards against an answer lost with the attempt that ended the other of its round.
+// TestOwnerFailsAfterClaim guards against an answer that is lost when the owner of a round fails after
+// it has canceled the other attempt.
 func TestOwnerFailsAfterClaim(t *testing.T) {
 	rows := map[string]func(r *wire.RunRequest) []*wire.RunEvent{
 		"before its first token": func(r *wire.RunRequest) []*wire.RunEvent { return []*wire.RunEvent{eventFor(r, started())} },
 		"after some tokens": func(r *wire.RunRequest) []*wire.RunEvent {
 			return []*wire.RunEvent{eventFor(r, started()), eventFor(r, tokens(0, "a", "b"))}
 		},
-		"its own word": func(r *wire.RunRequest) []*wire.RunEvent {
+		"refused by its agent": func(r *wire.RunRequest) []*wire.RunEvent {
 			return []*wire.RunEvent{eventFor(r, started()), eventFor(r, refused("cut_by_shutdown", wire.Ran_RAN_YES))}
 		},
 	}
@@ -38,16 +39,17 @@
 			sink := &recordingSink{}
 			_, err := r.Run(t.Context(), promptJob(), sink)
 			if err != nil || strings.Join(sink.tokens, "") != "abc" {
-				t.Errorf("%q %v", sink.tokens, err)
+				t.Errorf("got %q, error %v; want abc", sink.tokens, err)
 			}
 			if work := r.Directory.OwnWork(); len(work) != 0 {
-				t.Errorf("counted as underway: %+v", work)
+				t.Errorf("still counted as in flight: %+v", work)
 			}
 		})
 	}
 }
 
-// TestShutdownDuringHedge guards against a caller that is taken for gone as its entry is forced to stop while two attempts run.
+// TestShutdownDuringHedge guards against a request whose caller is treated as gone when its entry is
+// forced to stop while two attempts run.
 func TestShutdownDuringHedge(t *testing.T) {
 	both := make(chan struct{}, 2)
 	blocked := make(chan struct{})
@@ -66,9 +68,9 @@
 	}()
 	_, err := r.Run(ctx, promptJob(), &recordingSink{})
 	if err == nil || err.Code != apierror.CodeStopping || err.Ran != apierror.RanUnknown || fake.callCount() != 2 {
-		t.Errorf("%d calls, %+v", fake.callCount(), err)
+		t.Errorf("got %d calls, error %+v", fake.callCount(), err)
 	}
 	if work := r.Directory.OwnWork(); len(work) != 0 {
-		t.Errorf("counted as underway: %+v", work)
+		t.Errorf("still counted as in flight: %+v", work)
 	}
 }
--- a/internal/coordination/runs/liveness.go
+++ b/internal/coordination/runs/liveness.go
@@ -10,17 +10,19 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// errEndpointGone ends attempts whose member is dead or has restarted.
+// errEndpointGone is the cancellation cause of attempts whose member is dead or has restarted.
 const errEndpointGone = errors.ConstError("endpoint is gone")
 
-// goneIdleTimeout, in time without an event, ends an attempt at a member that is gone. Membership may be wrong about a
-// starved process, and right about one that has stopped but whose answer is still underway.
+// goneIdleTimeout is the time without an event after which an attempt at a gone member is canceled.
+// Membership may be wrong about a process that gets no CPU time, and it may be right about one that
+// has stopped but whose answer is still arriving.
 const goneIdleTimeout = 2 * time.Second
 
-// idleTracker tells since when an attempt has waited for its endpoint's next event.
+// idleTracker records since when an attempt has waited for its endpoint's next event.
 type idleTracker struct {
 	mu sync.Mutex
-	// since is zero while an event is handed to the caller: what has arrived behind it is not known.
+	// since is zero while an event is being delivered to the caller: whether others have arrived
+	// after it is not known.
 	since time.Time
 }
 
@@ -32,7 +34,7 @@
 
 func (t *idleTracker) end() { t.begin(time.Time{}) }
 
-// duration returns how long an attempt has waited.
+// duration returns how long the attempt has waited.
 func (t *idleTracker) duration(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,6 +44,7 @@
 	return now.Sub(t.since)
 }
 
+// register makes an attempt known to WatchMembership.
 func (r *Runner) register(a *attempt) {
 	a.idle.begin(time.Now())
 	r.mu.Lock()
@@ -67,8 +70,8 @@
 	}
 }
 
-// WatchMembership ends attempts whose member is gone. A host that vanishes closes no
-// connection; without this its streams would wait for their deadline.
+// WatchMembership cancels attempts whose member is gone, until ctx ends. A host that vanishes
+// closes no connections; without this its streams would wait for their deadlines.
 func (r *Runner) WatchMembership(ctx context.Context) {
 	for {
 		changed := r.Table.Changed()
@@ -85,8 +88,8 @@
 	}
 }
 
-// cancelAtGoneMembers ends quiet attempts whose member is gone. It returns when the next of them may be quiet for
-// long enough, 0 if there is none.
+// cancelAtGoneMembers cancels the attempts at gone members that have been idle for goneIdleTimeout.
+// It returns the time until the next of them can have been idle for that long, 0 if none is left.
 func (r *Runner) cancelAtGoneMembers(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/coordination/runs/liveness_test.go
+++ b/internal/coordination/runs/liveness_test.go
@@ -12,7 +12,7 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// callbackSink is called with each token; it keeps them.
+// callbackSink calls onToken before it records a token.
 type callbackSink struct {
 	recordingSink
 	onToken func()
@@ -23,7 +23,7 @@
 	return s.recordingSink.Tokens(t)
 }
 
-// markAgentsDead has the table take all agents for dead.
+// markAgentsDead marks all agents of the table as dead.
 func markAgentsDead(r *Runner, now time.Time) {
 	for _, m := range r.Table.Members() {
 		if m.Role == fleet.RoleAgent {
@@ -33,10 +33,10 @@
 	}
 }
 
-// TestArrivingAnswerSurvivesDeadMember guards against callers losing an answer whose endpoint has stopped, or is wrongly
-// taken for dead, while its events still arrive.
+// TestArrivingAnswerSurvivesDeadMember guards against the loss of an answer whose events still arrive,
+// after its endpoint has stopped or was wrongly found dead.
 func TestArrivingAnswerSurvivesDeadMember(t *testing.T) {
-	// Larger than what a connection holds: the agent sends to the end.
+	// The answer is larger than a connection's buffers, so that the agent is sending until the end.
 	const count = 64
 	word := strings.Repeat("a", 32<<10)
 	r, _ := newRunner(t, 1, func(_ int, q *wire.RunRequest) []*wire.RunEvent {
@@ -53,11 +53,12 @@
 		r.cancelAtGoneMembers(now.Add(time.Minute))
 	}}
 	if _, err := r.Run(t.Context(), promptJob(), sink); err != nil || len(sink.tokens) != count {
-		t.Errorf("%v after %d of %d tokens", err, len(sink.tokens), count)
+		t.Errorf("got error %v after %d of %d tokens", err, len(sink.tokens), count)
 	}
 }
 
-// TestIdleAttemptAtGoneMemberIsCanceled guards against streams that wait for their deadline when a host vanished.
+// TestIdleAttemptAtGoneMemberIsCanceled guards against streams that wait for their deadline after a host
+// has vanished, and against canceling those that have just received an event.
 func TestIdleAttemptAtGoneMemberIsCanceled(t *testing.T) {
 	now := time.Now()
 	rows := []struct {
@@ -65,17 +66,17 @@
 		dead bool
 		// restarted: the member has another incarnation than the attempt's.
 		restarted bool
-		// idle is how long the attempt has waited, 0 if it handles an event.
+		// idle is how long the attempt has waited, 0 while it delivers an event.
 		idle    time.Duration
 		cancel  bool
 		recheck time.Duration
 	}{
-		{"alive and quiet", false, false, time.Hour, false, 0},
-		{"dead and quiet", true, false, goneIdleTimeout, true, 0},
-		{"restarted and quiet", false, true, goneIdleTimeout, true, 0},
-		{"dead, an event just now", true, false, goneIdleTimeout / 4, false, goneIdleTimeout * 3 / 4},
-		{"restarted, an event just now", false, true, goneIdleTimeout / 4, false, goneIdleTimeout * 3 / 4},
-		{"dead, an event in hand", true, false, 0, false, goneIdleTimeout},
+		{"alive and idle", false, false, time.Hour, false, 0},
+		{"dead and idle", true, false, goneIdleTimeout, true, 0},
+		{"restarted and idle", false, true, goneIdleTimeout, true, 0},
+		{"dead, a recent event", true, false, goneIdleTimeout / 4, false, goneIdleTimeout * 3 / 4},
+		{"restarted, a recent event", false, true, goneIdleTimeout / 4, false, goneIdleTimeout * 3 / 4},
+		{"dead, an event is being delivered", true, false, 0, false, goneIdleTimeout},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -95,16 +96,17 @@
 				markAgentsDead(r, now)
 			}
 			if recheck := r.cancelAtGoneMembers(now); recheck != row.recheck {
-				t.Errorf("looks again after %v, want %v", recheck, row.recheck)
+				t.Errorf("got a recheck after %v, want %v", recheck, row.recheck)
 			}
 			if canceled := errors.Is(context.Cause(ctx), errEndpointGone); canceled != row.cancel {
-				t.Errorf("canceled %v, want %v", canceled, row.cancel)
+				t.Errorf("got canceled %v, want %v", canceled, row.cancel)
 			}
 		})
 	}
 }
 
-// TestWatchMembershipCancelsIdleAttempt guards against an attempt that nobody looks at again after it was spared.
+// TestWatchMembershipCancelsIdleAttempt guards against an attempt that is not checked again after the
+// check at which it had not been idle for long enough.
 func TestWatchMembershipCancelsIdleAttempt(t *testing.T) {
 	r, fake := newRunner(t, 1, nil)
 	fake.silentAttempt, fake.arrived, fake.ended = 1, make(chan struct{}), make(chan uint32, 1)
@@ -115,6 +117,6 @@
 	}()
 	_, err := r.Run(t.Context(), promptJob(), &recordingSink{})
 	if err == nil || !strings.Contains(err.Error(), string(errEndpointGone)) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("got error %v, want that the endpoint is gone", err)
 	}
 }
--- a/internal/coordination/runs/runs.go
+++ b/internal/coordination/runs/runs.go
@@ -1,6 +1,6 @@
-// Package runs carries one request through its attempts: it chooses an
-// endpoint, follows the stream, and after a fault resumes, replays or gives the
-// final answer at once.
+// Package runs executes one request: it chooses an endpoint and relays the answer stream. After a
+// failure it resumes or repeats the request at another endpoint, reattaches to the recorded
+// answer, or returns the final error at once.
 package runs
 
 import (
@@ -22,35 +22,36 @@
 	"limpetwall/internal/transport/rpc"
 )
 
-// maxAttempts bounds the endpoints tried for one request.
+// maxAttempts bounds the endpoints tried for one request. A hedge that does not decide its round is
+// not counted.
 const maxAttempts = 4
 
-// Sink receives an answer as it comes; an error means the caller is gone.
+// Sink receives an answer as it arrives. An error from a method means that the caller has left.
 type Sink interface {
-	// Started comes once, before the first token.
+	// Started is called at most once, before the first token.
 	Started(weightVersion string, promptTokens, cachedTokens int) error
 	Tokens(tokens []string) error
-	// Head may come again before the body begins; the last one counts.
+	// Head may be called again until the body begins; the last head counts.
 	Head(h *wire.PlainHead) error
 	Body(data []byte) error
 }
 
-// Job is one request.
+// Job is one request: either Prompt or Plain is set.
 type Job struct {
 	RequestID string
 	Customer  *config.Customer
 	Service   *config.Service
 	Prompt    *wire.Prompt
 	Plain     *wire.PlainCall
-	// IdempotencyKey is the caller's idempotency key, or empty.
+	// IdempotencyKey is empty if the caller gave none.
 	IdempotencyKey string
-	// Digest of the request, which a key is bound to.
+	// Digest identifies the request; an idempotency key is bound to it.
 	Digest []byte
 }
 
-// canRepeat tells whether a job that may have run can be sent again. A service
-// that is not marked as not repeatable may still do something at each POST: only
-// methods that HTTP defines as idempotent are repeated.
+// canRepeat reports whether a job that may have run can be sent again. Prompts always can. A
+// plain service that is not marked as NotRepeatable may still have a side effect at each POST, so
+// only methods that HTTP defines as idempotent are repeated.
 func (j *Job) canRepeat() bool {
 	if j.Plain == nil {
 		return true
@@ -62,7 +63,7 @@
 	return false
 }
 
-// Result is a whole answer's end.
+// Result describes an answer that was delivered completely.
 type Result struct {
 	FinishReason     string
 	CompletionTokens int
@@ -71,7 +72,7 @@
 	Endpoint         string
 }
 
-// Runner runs jobs for one entry.
+// Runner executes the jobs of one entry.
 type Runner struct {
 	Directory *routing.Directory
 	Table     *fleet.Table
@@ -81,18 +82,18 @@
 	Budget    *RetryBudget
 	Store     *config.Store
 	Zap       *zap.Logger
-	// Guard keeps requests that crash endpoints from being run; nil lets all run.
+	// Guard refuses requests that crash endpoints; nil refuses none.
 	Guard *quarantine.Guard
-	// HedgeAfter is the shortest wait for a first token before a second attempt;
-	// 0 never makes one.
+	// HedgeAfter is the shortest wait for a first token before a second attempt is started;
+	// 0 disables hedging.
 	HedgeAfter time.Duration
 
 	mu               sync.Mutex
 	attemptsByMember map[string]map[*attempt]struct{}
 }
 
-// progress is what the caller already has. Only the attempt that owns it writes
-// to it; while two attempts run, the first that brings something becomes owner.
+// progress is what the caller has received so far. Only the attempt that owns it writes to it;
+// while two attempts run, the first to receive an event other than a refusal becomes the owner.
 type progress struct {
 	mu       sync.Mutex
 	owner    *attempt
@@ -106,7 +107,7 @@
 	bodyBytes     int
 }
 
-// Run carries out a job. The error is its final answer.
+// Run executes a job. The error is the final answer to its caller.
 func (r *Runner) Run(ctx context.Context, job *Job, sink Sink) (Result, *apierror.Error) {
 	r.Budget.Earn()
 	if refusal := r.checkQuarantine(ctx, job); refusal != nil {
@@ -119,8 +120,9 @@
 	return r.runRepeatable(ctx, job, p)
 }
 
-// contextKeys names the prompt's pieces for the entry's index. Without weight
-// version: the index tells where a context was, the engine whether it fits.
+// contextKeys returns the keys of the prompt's chunks in the entry's index. They leave out the
+// weight version: the index records where a context was, and the engine decides whether it can
+// be used.
 func contextKeys(job *Job) []contextkey.Key {
 	if job.Prompt == nil {
 		return nil
@@ -152,10 +154,10 @@
 		if choice.Member.ID == "" {
 			return Result{}, noEndpointError(choice.Refusal, last, p)
 		}
-		// All services share the budget. Spent before an endpoint is chosen, it would be
-		// drained by a service whose only endpoint fails, without a retry, and the others'
-		// callers would get errors that a retry saves them from. From here on the retry is
-		// made.
+		// All services share the budget. If it were spent before an endpoint is chosen, a
+		// service whose only endpoint fails would drain it without making a retry, and callers
+		// of other services would get errors that a retry could have avoided. From here on the
+		// retry is made.
 		if number > 1 && !r.Budget.Spend() {
 			r.Directory.Release(choice)
 			return Result{}, last.retryLaterError(p, "the retry budget is used up")
@@ -184,15 +186,15 @@
 	return Result{}, last.retryLaterError(p, "all attempts failed")
 }
 
-// outcome is how one attempt ended.
+// outcome is the result of one attempt.
 type outcome struct {
 	done     bool
 	finished *wire.Finished
-	// endpointFailed: the endpoint or the way to it endpointFailed.
+	// endpointFailed: the endpoint or the connection to it failed.
 	endpointFailed bool
 	// sent: the request may have reached the agent.
 	sent bool
-	// refused: it is the agent's own word.
+	// refused: the agent itself reported this outcome, in a Refused event.
 	refused    bool
 	clientGone bool
 	ran        wire.Ran
@@ -200,7 +202,7 @@
 	message    string
 	cause      error
 	retryAfter time.Duration
-	// crashedIncarnation names the endpoint's incarnation that ended under the attempt, 0 if none did.
+	// crashedIncarnation is the endpoint's incarnation that crashed during the attempt, 0 if none did.
 	crashedIncarnation uint64
 }
 
@@ -211,11 +213,12 @@
 	}
 }
 
+// runNewAttempt runs an attempt that is not hedged.
 func (r *Runner) runNewAttempt(ctx context.Context, job *Job, c routing.Choice, number uint32, ticket *wire.Ticket, p *progress) *outcome {
 	return r.runAttempt(ctx, p.startRound(r, job, c, number, ticket))
 }
 
-// runAttempt runs an attempt to its end.
+// runAttempt runs an attempt to its end and reports its outcome to the guard and the log.
 func (r *Runner) runAttempt(ctx context.Context, a *attempt) *outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -234,8 +237,8 @@
 	return out
 }
 
-// RetryBudget bounds retries to a share of the requests, so that a failing
-// fleet is not loaded with a multiple of its traffic.
+// RetryBudget limits retries to a fraction of the requests, so that a failing fleet is not loaded
+// with a multiple of its traffic.
 type RetryBudget struct {
 	mu        sync.Mutex
 	tokens    float64
@@ -243,19 +246,19 @@
 	maxTokens float64
 }
 
-// NewRetryBudget allows share retries a request, and up to burst at once.
+// NewRetryBudget allows ratio retries per request, and up to burst at once.
 func NewRetryBudget(ratio, burst float64) *RetryBudget {
 	return &RetryBudget{tokens: burst, ratio: ratio, maxTokens: burst}
 }
 
-// Earn counts a new request.
+// Earn credits the budget for a new request.
 func (b *RetryBudget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.maxTokens, b.tokens+b.ratio)
 }
 
-// Spend takes one retry, or reports false if there is none left.
+// Spend takes one retry from the budget. It reports false if none is left.
 func (b *RetryBudget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -266,14 +269,14 @@
 	return true
 }
 
-// Refund gives back what was spent on a retry that was not made.
+// Refund returns a retry that was spent but not made.
 func (b *RetryBudget) Refund() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.maxTokens, b.tokens+1)
 }
 
-// waitBackoff waits between reattachments, with full jitter.
+// waitBackoff waits before the next reattachment: an exponential backoff with full jitter.
 func waitBackoff(ctx context.Context, number uint32) {
 	limit := min(time.Second, 20*time.Millisecond<<min(number, 8))
 	timer := time.NewTimer(time.Duration(rand.Int64N(int64(limit))))
--- a/internal/coordination/runs/runs_test.go
+++ b/internal/coordination/runs/runs_test.go
@@ -31,8 +31,9 @@
 	calls int
 	// script returns the events of the n-th call, counted from 1.
 	script func(n int, r *wire.RunRequest) []*wire.RunEvent
-	// silentAttempt is the attempt that says nothing until its caller leaves, which ended
-	// then receives; arrived is closed when it has reached the agent.
+	// silentAttempt is the number of the attempt that gets no event until its context ends, 0 for
+	// none. arrived is closed when it has reached the agent; ended receives its number when it has
+	// ended.
 	silentAttempt uint32
 	arrived       chan struct{}
 	ended         chan uint32
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// recordingSink is a sink that keeps what it is given.
+// recordingSink is a sink that records the answer.
 type recordingSink struct {
 	tokens []string
 	body   string
@@ -75,7 +76,7 @@
 func (c *recordingSink) Head(h *wire.PlainHead) error   { c.status = h.GetStatus(); return nil }
 func (c *recordingSink) Body(b []byte) error            { c.body += string(b); return nil }
 
-// eventFor builds an eventFor of a request's own attempt.
+// eventFor sets the request ID and the attempt number of an event to those of r.
 func eventFor(r *wire.RunRequest, e *wire.RunEvent) *wire.RunEvent {
 	e.RequestId, e.Attempt = r.GetRequestId(), r.GetAttempt()
 	return e
@@ -97,7 +98,7 @@
 	return &wire.RunEvent{Event: &wire.RunEvent_Refused{Refused: &wire.Refused{Code: code, Ran: ran}}}
 }
 
-// newRunner returns a newRunner before some fake agents that share a script.
+// newRunner returns a runner with the given number of agents, which share one fake and its script.
 func newRunner(t *testing.T, agents int, script func(n int, r *wire.RunRequest) []*wire.RunEvent) (*Runner, *fakeAgent) {
 	fake := &fakeAgent{script: script}
 	now := time.Now()
@@ -140,11 +141,9 @@
 	}
 }
 
-// TestAnswerIsCompleteAndInOrder feeds a caller's stream with what a
-// confused network or agent could send.
-//
-// The caller sees a, b, c, d once and in order, or an error; never another
-// request's tokens, those of an earlier attempt, a repeated or missing one.
+// TestAnswerIsCompleteAndInOrder guards against a caller that gets another request's tokens, those
+// of an earlier attempt, or its own with some repeated or missing. Agents send misdirected or
+// incomplete streams, or refuse; the caller must get a, b, c, d once and in order.
 func TestAnswerIsCompleteAndInOrder(t *testing.T) {
 	wholeAnswer := func(r *wire.RunRequest) []*wire.RunEvent {
 		rest := []string{"a", "b", "c", "d"}[len(r.GetPrompt().GetResumeTokens()):]
@@ -206,16 +205,15 @@
 			defer cancel()
 			_, err := r.Run(ctx, promptJob(), sink)
 			if err != nil || strings.Join(sink.tokens, "") != "abcd" || fake.callCount() != row.calls {
-				t.Errorf("got %q after %d calls, %v", sink.tokens, fake.callCount(), err)
+				t.Errorf("got %q after %d calls, error %v; want abcd", sink.tokens, fake.callCount(), err)
 			}
 		})
 	}
 }
 
-// TestFinalErrorIsReturnedAtOnce lets every attempt fail.
-//
-// The caller gets one final answer, with the truth about execution and when to
-// come back; the entry does not hold it until the deadline.
+// TestFinalErrorIsReturnedAtOnce guards against a caller that waits for its deadline after every
+// attempt has failed, or that gets an error without when to retry or with a wrong statement of
+// whether the request ran.
 func TestFinalErrorIsReturnedAtOnce(t *testing.T) {
 	rows := []struct {
 		name   string
@@ -237,12 +235,12 @@
 		r, _ := newRunner(t, 2, func(_ int, q *wire.RunRequest) []*wire.RunEvent { return row.events(q) })
 		_, err := r.Run(t.Context(), promptJob(), &recordingSink{})
 		if err == nil || err.Status != row.status || err.Ran != row.ran || err.Code != row.code || err.Retry.AfterMS <= 0 {
-			t.Errorf("%s: %+v", row.name, err)
+			t.Errorf("%s: got error %+v", row.name, err)
 		}
 	}
 	r, _ := newRunner(t, 0, nil)
 	if _, err := r.Run(t.Context(), promptJob(), &recordingSink{}); err == nil || err.Code != apierror.CodeNoEndpoint || err.Ran != apierror.RanNo {
-		t.Errorf("no endpoint: %+v", err)
+		t.Errorf("no endpoint: got error %+v", err)
 	}
 }
 
@@ -270,11 +268,9 @@
 	return job
 }
 
-// TestRanIsMergedAcrossAttempts loses the answer of a request at one endpoint and has the
-// next one not run it.
-//
-// The caller must not be told "ran: no" with 503: the first endpoint may have run it, and
-// only the attempt after it provably did not, as it was refused or reached nobody.
+// TestRanIsMergedAcrossAttempts guards against 503 with "ran: no" for a request that may have run.
+// The first endpoint's answer is lost, so it may have run the request. Only the attempt after it
+// provably did not run, because it was refused or did not reach its agent.
 func TestRanIsMergedAcrossAttempts(t *testing.T) {
 	refusedAfterLoss := func(n int, q *wire.RunRequest) []*wire.RunEvent {
 		if n == 1 {
@@ -302,7 +298,7 @@
 	t.Run("the other is not reached", func(t *testing.T) {
 		var r *Runner
 		r, fake := newRunner(t, 1, func(int, *wire.RunRequest) []*wire.RunEvent {
-			// Only now is there another endpoint, so that it is the second that is chosen.
+			// The other endpoint is added only now, so that it is chosen second.
 			addUnreachableAgent(t, r)
 			return nil
 		})
@@ -310,11 +306,9 @@
 	})
 }
 
-// TestRanIsMergedAcrossHedge loses the answer of an attempt whose first token is late,
-// and has the second attempt beside it refused.
-//
-// The caller must not be told "ran: no" with 503: the refusal comes last and counts, but the
-// first endpoint may have run the prompt.
+// TestRanIsMergedAcrossHedge guards against 503 with "ran: no" for a prompt that may have run. The
+// first token of one attempt is late and its answer is then lost, so its endpoint may have run the
+// prompt. The second attempt is refused; this comes last and decides the round.
 func TestRanIsMergedAcrossHedge(t *testing.T) {
 	second, firstEnded := make(chan struct{}), make(chan struct{})
 	r, fake := newRunner(t, 2, func(n int, q *wire.RunRequest) []*wire.RunEvent {
@@ -334,7 +328,7 @@
 	checkRanUnknown(t, r, fake, promptJob(), 2)
 }
 
-// onAttemptEnd calls back at the log line of each attempt's end, when its outcome is decided.
+// onAttemptEnd calls back when an attempt is logged: its outcome is then decided.
 func onAttemptEnd(r *Runner, callback func()) {
 	core, _ := observer.New(zap.InfoLevel)
 	r.Zap = zap.New(core, zap.Hooks(func(e zapcore.Entry) error {
@@ -345,7 +339,7 @@
 	}))
 }
 
-// describe is what a caller reads of an error.
+// describe formats what a caller reads of an error.
 func describe(err *apierror.Error) string {
 	if err == nil {
 		return "nothing"
@@ -353,31 +347,32 @@
 	return fmt.Sprintf("%d %s, ran %s, %s", err.Status, err.Code, err.Ran, err.Retry.Advice)
 }
 
-// checkRanUnknown runs a job that fails and may have run.
+// checkRanUnknown runs a job that fails, and checks that the caller learns that it may have run.
 func checkRanUnknown(t *testing.T, r *Runner, fake *fakeAgent, job *Job, calls int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	_, err := r.Run(ctx, job, &recordingSink{})
 	if err == nil || err.Ran != apierror.RanUnknown || err.Status != http.StatusBadGateway {
-		t.Errorf("the caller is told %s; want 502, ran unknown", describe(err))
+		t.Errorf("got %s, want 502, ran unknown", describe(err))
 	}
 	if fake.callCount() != calls {
-		t.Errorf("%d runs arrived, want %d", fake.callCount(), calls)
+		t.Errorf("got %d calls, want %d", fake.callCount(), calls)
 	}
 }
 
-// TestRefusalTakesPrecedenceOverContextEnd ends a request's context just after an endpoint's word
-// has arrived, and before the runner goes on.
+// TestRefusalTakesPrecedenceOverContextEnd guards against a conclusive refusal that is replaced by
+// the error of the request's context, which ends after the refusal has arrived and before the runner
+// continues.
 //
-// The caller must read that word. "The time is up, ran: unknown" in its place has it doubt a
-// request that provably did not run, or repeat one that can never be answered. Only a word
-// that is not certain, or one that comes to a caller that left, gives way.
+// With "timeout, ran unknown" instead, the caller has to assume that a request may have run which
+// provably did not, or repeats one that can never be answered. The context's error goes first only
+// if the refusal is not conclusive, or if the caller left.
 func TestRefusalTakesPrecedenceOverContextEnd(t *testing.T) {
 	rows := []struct {
 		name  string
 		job   *Job
-		lost  bool // the first answer, before another endpoint refuses
+		lost  bool // the first endpoint's answer is lost, then another endpoint refuses
 		code  string
 		ran   wire.Ran
 		cause error
@@ -421,16 +416,15 @@
 			})
 			_, err := r.Run(ctx, row.job, &recordingSink{})
 			if got := describe(err); got != row.want {
-				t.Errorf("the caller is told %s; want %s", got, row.want)
+				t.Errorf("got %s, want %s", got, row.want)
 			}
 		})
 	}
 }
 
-// TestKeyedCallToUnreachableAgent ends the time of a call whose agent can't be reached.
-//
-// Nothing was sent, but the caller must not be told "ran: no": an earlier call with the same
-// key may have reached the agent and run.
+// TestKeyedCallToUnreachableAgent guards against "ran: no" for a keyed call whose time is up while
+// its agent can't be reached. It sent nothing, but an earlier call with the same key may have
+// reached the agent and run.
 func TestKeyedCallToUnreachableAgent(t *testing.T) {
 	r, _ := newRunner(t, 0, nil)
 	addUnreachableAgent(t, r)
@@ -439,11 +433,12 @@
 	onAttemptEnd(r, func() { cancel(context.DeadlineExceeded) })
 	_, err := r.Run(ctx, keyedJob(unreachableIncarnation), &recordingSink{})
 	if got, want := describe(err), "504 timeout, ran unknown, retry_after"; got != want {
-		t.Errorf("the caller is told %s; want %s", got, want)
+		t.Errorf("got %s, want %s", got, want)
 	}
 }
 
-// keyedJob is a call that may not be repeated, with a ticket of an agent as key.
+// keyedJob returns a call that must not be repeated, with a ticket of an agent incarnation as its
+// key.
 func keyedJob(incarnation uint64) *Job {
 	job := plainJob(http.MethodPost)
 	job.Service.NotRepeatable = true
@@ -451,8 +446,8 @@
 	return job
 }
 
-// TestResumeKeepsWeightVersion breaks a stream and leaves only another weight
-// version: the answer is not continued by it.
+// TestResumeKeepsWeightVersion guards against an answer that is resumed with another weight version
+// than it began with: after the stream breaks, only endpoints with another version are left.
 func TestResumeKeepsWeightVersion(t *testing.T) {
 	r, fake := newRunner(t, 2, func(_ int, q *wire.RunRequest) []*wire.RunEvent {
 		e := started()
@@ -461,16 +456,16 @@
 	})
 	_, err := r.Run(t.Context(), promptJob(), &recordingSink{})
 	if err == nil || err.Code != apierror.CodeStreamLost || fake.callCount() != 1 {
-		t.Errorf("%+v after %d calls", err, fake.callCount())
+		t.Errorf("got error %+v after %d calls, want a lost stream after 1", err, fake.callCount())
 	}
 }
 
-// TestLateFirstTokenIsHedged makes the first endpoint silent.
+// TestLateFirstTokenIsHedged guards against a caller that waits for an endpoint that stays silent.
+// The caller must get the whole answer from a second endpoint, once, and the silent attempt must be
+// canceled. Without a budget, or for a plain call, there is no second attempt.
 //
-// The caller gets the whole answer from the second endpoint, once; the silent
-// attempt is ended. Without budget, or for a plain call, there is no
-// second attempt. The second endpoint answers only when the silent one has been
-// reached: an attempt that is overtaken while it still connects reaches nobody.
+// The second endpoint answers only when the silent one has been reached: an attempt that is
+// canceled while it still connects reaches no agent.
 func TestLateFirstTokenIsHedged(t *testing.T) {
 	arrived := make(chan struct{})
 	whole := func(_ int, r *wire.RunRequest) []*wire.RunEvent {
@@ -483,10 +478,10 @@
 	sink := &recordingSink{}
 	result, err := r.Run(t.Context(), promptJob(), sink)
 	if err != nil || strings.Join(sink.tokens, "") != "ab" || result.Attempts != 2 {
-		t.Errorf("%q %+v %v", sink.tokens, result, err)
+		t.Errorf("got %q, %+v, error %v; want ab after 2 attempts", sink.tokens, result, err)
 	}
 	if n := <-fake.ended; n != 1 {
-		t.Errorf("attempt %d was ended", n)
+		t.Errorf("attempt %d was canceled, want 1", n)
 	}
 
 	r.Budget = NewRetryBudget(0, 0)
@@ -495,32 +490,32 @@
 	choice := r.Directory.Choose("s", nil, rd.request)
 	first := p.startRound(r, job, choice, 1, nil)
 	if second := r.newHedge(rd, first); second != nil {
-		t.Error("a second attempt without a budget")
+		t.Error("got a second attempt without a budget")
 	}
 	second := p.addHedge(first, choice, 2)
 	if !p.claim(second) || p.claim(first) || !p.claim(second) {
-		t.Error("two attempts own one round")
+		t.Error("the round has no owner, or more than one")
 	}
 	if p.addHedge(first, choice, 3) != nil {
-		t.Error("a second attempt after the first token")
+		t.Error("got a second attempt after the answer has begun")
 	}
 	plain := &round{job: &Job{Plain: &wire.PlainCall{}}}
 	if timer := r.hedgeTimer(plain, choice); !timer.Reset(time.Hour) {
-		t.Error("a plain call has a second attempt due")
+		t.Error("the hedge timer of a plain call has fired")
 	}
 }
 
-// TestHedgeLoserIsNotCountedAsSuccess guards against an endpoint that hangs and stays in use, as each attempt at it that was
-// stopped counts as a success.
+// TestHedgeLoserIsNotCountedAsSuccess guards against an endpoint that hangs and stays in use, because
+// each attempt at it that was canceled counts as a success.
 func TestHedgeLoserIsNotCountedAsSuccess(t *testing.T) {
 	stopped := map[string]func(*Runner, *round, *attempt){
-		"the other attempt was sooner": func(r *Runner, _ *round, a *attempt) { r.reportToDirectory(a, hedgeLostOutcome()) },
-		"the first attempt was sooner before it began": func(r *Runner, rd *round, a *attempt) {
+		"the other attempt was faster": func(r *Runner, _ *round, a *attempt) { r.reportToDirectory(a, hedgeLostOutcome()) },
+		"the first attempt was faster before the second began": func(r *Runner, rd *round, a *attempt) {
 			r.Directory.Release(a.choice)
 			first := &attempt{runner: r, job: rd.job, progress: rd.p, choice: routing.Choice{Member: fleet.Member{ID: "other"}}}
 			rd.p.owner = first
 			if r.newHedge(rd, first) != nil {
-				t.Error("a second attempt after the first token")
+				t.Error("got a second attempt after the answer has begun")
 			}
 		},
 	}
@@ -546,14 +541,15 @@
 			rd.request.Exclude = nil
 			for range 20 {
 				if choice := r.Directory.Choose("s", nil, rd.request); choice.Member.ID == hanging {
-					t.Fatal("it is used after three failures")
+					t.Fatal("the hanging endpoint is chosen after three failures")
 				}
 			}
 		})
 	}
 }
 
-// TestRetryExcludesBothFailedEndpoints guards against a retry at an endpoint that has just failed beside another.
+// TestRetryExcludesBothFailedEndpoints guards against a retry at one of the two endpoints whose
+// attempts have failed in the same round.
 func TestRetryExcludesBothFailedEndpoints(t *testing.T) {
 	var mu sync.Mutex
 	var tried []uint64
@@ -578,11 +574,12 @@
 	}
 	slices.Sort(tried)
 	if !slices.Equal(tried, []uint64{1, 2, 3}) {
-		t.Errorf("tried %v", tried)
+		t.Errorf("tried incarnations %v, want [1 2 3]", tried)
 	}
 }
 
-// TestHedgedAnswersAreNotMixed lets both attempts of many runs answer at about the same time.
+// TestHedgedAnswersAreNotMixed guards against an answer with tokens of both attempts of a round, when
+// both answer at about the same time.
 func TestHedgedAnswersAreNotMixed(t *testing.T) {
 	r, _ := newRunner(t, 3, func(n int, r *wire.RunRequest) []*wire.RunEvent {
 		time.Sleep(time.Duration(n%3) * time.Millisecond)
@@ -601,11 +598,10 @@
 	}
 }
 
-// TestOnlyIdempotentMethodsAreRepeated breaks a plain call that may have run.
-//
-// A GET is sent to another endpoint; a POST is not, though its service is not
-// marked, and its caller learns that the outcome is unknown. A POST that provably
-// did not run may go elsewhere.
+// TestOnlyIdempotentMethodsAreRepeated guards against a POST that is run twice. After the stream of a
+// call broke, a GET is sent to another endpoint. A POST is not, though its service is not marked as
+// NotRepeatable, and its caller learns that the outcome is unknown. A POST that provably did not run
+// is sent to another endpoint.
 func TestOnlyIdempotentMethodsAreRepeated(t *testing.T) {
 	rows := []struct {
 		method string
@@ -626,12 +622,13 @@
 		job.Prompt, job.Plain = nil, &wire.PlainCall{Method: row.method, Path: "/"}
 		job.Service.Kind = config.ServicePlain
 		if _, err := r.Run(t.Context(), job, &recordingSink{}); err == nil || fake.callCount() != row.calls {
-			t.Errorf("%s: %d calls, want %d, %v", row.method, fake.callCount(), row.calls, err)
+			t.Errorf("%s: got %d calls, want %d; error %v", row.method, fake.callCount(), row.calls, err)
 		}
 	}
 }
 
-// TestRetryAfterHeadWithoutBody guards against "the answer broke off" where the caller has no byte of it yet.
+// TestRetryAfterHeadWithoutBody guards against the error "the answer broke off" for an answer of which
+// the caller has no byte of the body yet.
 func TestRetryAfterHeadWithoutBody(t *testing.T) {
 	head := func(status int32) *wire.RunEvent {
 		return &wire.RunEvent{Event: &wire.RunEvent_PlainHead{PlainHead: &wire.PlainHead{Status: status}}}
@@ -642,7 +639,7 @@
 	rows := []struct {
 		name   string
 		method string
-		// firstAnswer is what came of the first answer.
+		// firstAnswer holds the events that arrive of the first answer.
 		firstAnswer []*wire.RunEvent
 		calls       int
 		whole       bool
@@ -670,7 +667,7 @@
 			sink := &recordingSink{}
 			_, err := r.Run(t.Context(), job, sink)
 			if (err == nil) != row.whole || fake.callCount() != row.calls || sink.status != row.status {
-				t.Errorf("%d calls, status %d, %v", fake.callCount(), sink.status, err)
+				t.Errorf("got %d calls, status %d, error %v", fake.callCount(), sink.status, err)
 			}
 			if row.whole && sink.body != "whole" {
 				t.Errorf("%q", sink.body)
@@ -689,22 +686,23 @@
 		}
 	}
 	if spent < 10 || spent > 12 {
-		t.Errorf("%d retries for 100 requests", spent)
+		t.Errorf("got %d retries for 100 requests, want 10 to 12", spent)
 	}
 }
 
-// TestBudgetIsSpentOnlyOnRetriesMade has a request fail where no other endpoint is left.
+// TestBudgetIsSpentOnlyOnRetriesMade guards against a budget that is spent though no retry is made,
+// because no other endpoint is left or the first attempt has answered meanwhile.
 //
-// The budget is shared by all services: if it is spent before an endpoint is looked for, a
-// service whose only endpoint fails drains it without a retry, and callers of the others get
-// errors that a retry would have saved them from.
+// All services share the budget: if it is spent before an endpoint is chosen, a service whose only
+// endpoint fails drains it without a retry, and callers of other services get errors that a retry
+// could have avoided.
 func TestBudgetIsSpentOnlyOnRetriesMade(t *testing.T) {
 	broken := func(int, *wire.RunRequest) []*wire.RunEvent { return nil }
 	t.Run("no other endpoint for a retry", func(t *testing.T) {
 		r, _ := newRunner(t, 1, broken)
 		r.Budget = NewRetryBudget(0, 1)
 		if _, err := r.Run(t.Context(), promptJob(), &recordingSink{}); err == nil || err.Code != "stream_broke" {
-			t.Errorf("the caller is told %s; want stream_broke", describe(err))
+			t.Errorf("got %s, want stream_broke", describe(err))
 		}
 		checkOneRetryLeft(t, r)
 	})
@@ -712,50 +710,49 @@
 		r, rd, first := newRound(t, 1)
 		r.Budget = NewRetryBudget(0, 1)
 		if r.newHedge(rd, first) != nil {
-			t.Error("a second attempt without an endpoint")
+			t.Error("got a second attempt without another endpoint")
 		}
 		checkOneRetryLeft(t, r)
 	})
-	t.Run("the first attempt has brought something meanwhile", func(t *testing.T) {
+	t.Run("the first attempt has answered meanwhile", func(t *testing.T) {
 		r, rd, first := newRound(t, 2)
 		r.Budget = NewRetryBudget(0, 1)
 		rd.p.claim(first)
 		if r.newHedge(rd, first) != nil {
-			t.Error("a second attempt after the first token")
+			t.Error("got a second attempt after the answer has begun")
 		}
 		checkOneRetryLeft(t, r)
 	})
 }
 
-// TestChoiceIsReleasedWithoutBudget has the budget used up where another endpoint is left.
-//
-// The choice of that endpoint counts as a run. If it is not taken back, the endpoint looks
-// busier with each such request, though it gets none, and is avoided in the end.
+// TestChoiceIsReleasedWithoutBudget guards against a choice that stays counted as a run when the
+// budget is used up and the request is not sent. The endpoint would look busier with each such
+// request, though it gets none, and routing would avoid it in the end.
 func TestChoiceIsReleasedWithoutBudget(t *testing.T) {
 	t.Run("a retry", func(t *testing.T) {
 		r, fake := newRunner(t, 2, func(int, *wire.RunRequest) []*wire.RunEvent { return nil })
 		r.Budget = NewRetryBudget(0, 0)
 		if _, err := r.Run(t.Context(), promptJob(), &recordingSink{}); err == nil || fake.callCount() != 1 {
-			t.Errorf("the caller is told %s after %d runs; want an error after 1", describe(err), fake.callCount())
+			t.Errorf("got %s after %d calls, want an error after 1", describe(err), fake.callCount())
 		}
 		if work := r.Directory.OwnWork(); len(work) != 0 {
-			t.Errorf("counted as underway: %+v", work)
+			t.Errorf("still counted as in flight: %+v", work)
 		}
 	})
 	t.Run("a second attempt", func(t *testing.T) {
 		r, rd, first := newRound(t, 2)
 		r.Budget = NewRetryBudget(0, 0)
 		if r.newHedge(rd, first) != nil {
-			t.Error("a second attempt without a budget")
+			t.Error("got a second attempt without a budget")
 		}
 		r.Directory.Release(first.choice)
 		if work := r.Directory.OwnWork(); len(work) != 0 {
-			t.Errorf("counted as underway: %+v", work)
+			t.Errorf("still counted as in flight: %+v", work)
 		}
 	})
 }
 
-// newRound is a round whose first attempt has brought nothing yet.
+// newRound returns a round whose first attempt has received no event yet.
 func newRound(t *testing.T, agents int) (*Runner, *round, *attempt) {
 	t.Helper()
 	r, _ := newRunner(t, agents, nil)
@@ -766,11 +763,11 @@
 	return r, rd, p.startRound(r, job, choice, 1, nil)
 }
 
-// checkOneRetryLeft looks for the one retry that a budget held at first.
+// checkOneRetryLeft checks that the one retry of a budget was not spent.
 func checkOneRetryLeft(t *testing.T, r *Runner) {
 	t.Helper()
 	if !r.Budget.Spend() {
-		t.Error("the budget was spent without a retry")
+		t.Error("the budget was spent although no retry was made")
 	}
 }
 
@@ -779,13 +776,13 @@
 	ticket := claims.Ticket{Incarnation: 1 << 60, Sequence: 7}
 	key := TicketKey(mine, "s", ticket)
 	if got, ok := ParseTicketKey(mine, "s", key); !ok || got != ticket {
-		t.Errorf("%v %v", got, ok)
+		t.Errorf("got %v, %v; want the ticket that the key encodes", got, ok)
 	}
 	if _, ok := ParseTicketKey(&config.Customer{ID: "b", Salt: []byte("b")}, "s", key); ok {
-		t.Error("another customer's ticket passes")
+		t.Error("another customer's ticket is accepted")
 	}
 	if _, ok := ParseTicketKey(mine, "t", key); ok {
-		t.Error("another service's ticket passes")
+		t.Error("another service's ticket is accepted")
 	}
 }
 
@@ -794,7 +791,7 @@
 	f.Add(TicketKey(c, "s", claims.Ticket{Incarnation: 1, Sequence: 2}))
 	f.Fuzz(func(t *testing.T, key string) {
 		if ticket, ok := ParseTicketKey(c, "s", key); ok && !strings.EqualFold(TicketKey(c, "s", ticket), key) {
-			t.Errorf("%q passes for %v", key, ticket)
+			t.Errorf("key %q is accepted for %v", key, ticket)
 		}
 	})
 }
