--- a/internal/coordination/routing/directory.go
+++ b/internal/coordination/routing/directory.go
@@ -15,7 +15,7 @@
 const (
 	// failuresToEject in a row take an endpoint out of decisions for a while.
 	failuresToEject = 3
-	firstEjection   = time.Second
+	minEjection     = time.Second
 	maxEjection     = 30 * time.Second
 )
 
@@ -26,22 +26,22 @@
 	store *config.Store
 	index *Index
 
-	mu         sync.Mutex
-	generation uint64
-	revision   uint64
-	services   map[string][]Endpoint
-	// near holds the endpoints of each service in this process's own domain.
-	near     map[string][]Endpoint
-	capacity map[string]int
-	dynamic  map[string]*tracked
+	mu              sync.Mutex
+	fleetGeneration uint64
+	configRevision  uint64
+	endpoints       map[string][]Endpoint
+	// localEndpoints holds the endpoints of each service in this process's own domain.
+	localEndpoints map[string][]Endpoint
+	capacity       map[string]int
+	tracked        map[string]*trackedEndpoint
 	// peers are the other processes by their life, peerWork what they have underway by
 	// endpoint, heardFrom counts them by failure domain.
-	peers     map[uint64]peer
-	peerWork  map[uint32]*Work
-	heardFrom map[string]int
-	// rates by model.
-	rates  map[string]*rates
-	random *rand.Rand
+	peers          map[uint64]peer
+	peerWork       map[uint32]*Work
+	reportingPeers map[string]int
+	// modelRates by model.
+	modelRates map[string]*modelRate
+	random     *rand.Rand
 }
 
 // NewDirectory returns a directory over a fleet table and a configuration. The
@@ -49,9 +49,9 @@
 func NewDirectory(table *fleet.Table, store *config.Store, indexSize int, seed uint64) *Directory {
 	return &Directory{
 		table: table, store: store, index: NewIndex(indexSize),
-		services: map[string][]Endpoint{}, dynamic: map[string]*tracked{},
-		peers: map[uint64]peer{}, peerWork: map[uint32]*Work{}, heardFrom: map[string]int{},
-		rates: map[string]*rates{}, random: rand.New(rand.NewPCG(seed, seed)),
+		endpoints: map[string][]Endpoint{}, tracked: map[string]*trackedEndpoint{},
+		peers: map[uint64]peer{}, peerWork: map[uint32]*Work{}, reportingPeers: map[string]int{},
+		modelRates: map[string]*modelRate{}, random: rand.New(rand.NewPCG(seed, seed)),
 	}
 }
 
@@ -59,31 +59,31 @@
 // configuration has changed; decisions in between reuse them.
 func (d *Directory) refresh(now time.Time) {
 	view, generation := d.store.View(), d.table.Generation()
-	if d.generation == generation && d.revision == view.Revision {
+	if d.fleetGeneration == generation && d.configRevision == view.Revision {
 		return
 	}
 	members := d.table.Members()
-	d.services, d.near = map[string][]Endpoint{}, map[string][]Endpoint{}
+	d.endpoints, d.localEndpoints = map[string][]Endpoint{}, map[string][]Endpoint{}
 	d.capacity = map[string]int{}
 	for service, intents := range view.Intents {
 		for _, m := range members {
-			if intent := firstUsable(intents, m); intent != nil {
-				d.services[service] = append(d.services[service], Endpoint{
+			if intent := firstUsableIntent(intents, m); intent != nil {
+				d.endpoints[service] = append(d.endpoints[service], Endpoint{
 					Member: m, Hash: HashID(m.ID), MaxConcurrent: intent.MaxConcurrent, RuntimeState: &d.track(m, now).RuntimeState,
 				})
 			}
 		}
-		list := d.services[service]
+		list := d.endpoints[service]
 		sort.Slice(list, func(i, j int) bool { return list[i].Hash < list[j].Hash })
-		d.capacity[service] = sumCapacity(list)
-		d.near[service] = inDomain(list, d.table.Self().Domain)
+		d.capacity[service] = totalCapacity(list)
+		d.localEndpoints[service] = endpointsInDomain(list, d.table.Self().Domain)
 	}
-	d.forgetGone(members)
-	d.generation, d.revision = generation, view.Revision
+	d.removeDead(members)
+	d.fleetGeneration, d.configRevision = generation, view.Revision
 }
 
-// inDomain keeps the endpoints of one failure domain, in their order.
-func inDomain(list []Endpoint, domain string) []Endpoint {
+// endpointsInDomain keeps the endpoints of one failure domain, in their order.
+func endpointsInDomain(list []Endpoint, domain string) []Endpoint {
 	var out []Endpoint
 	for _, e := range list {
 		if e.Domain == domain {
@@ -93,7 +93,7 @@
 	return out
 }
 
-func firstUsable(intents []*config.Intent, m fleet.Member) *config.Intent {
+func firstUsableIntent(intents []*config.Intent, m fleet.Member) *config.Intent {
 	for _, i := range intents {
 		if plan.Usable(i, m) {
 			return i
@@ -102,50 +102,50 @@
 	return nil
 }
 
-func (d *Directory) track(m fleet.Member, now time.Time) *tracked {
-	t, ok := d.dynamic[m.ID]
+func (d *Directory) track(m fleet.Member, now time.Time) *trackedEndpoint {
+	t, ok := d.tracked[m.ID]
 	if !ok || t.incarnation != m.Incarnation {
 		if ok {
 			// An endpoint that has started anew holds nothing of what it was sent.
 			d.index.RemoveEndpoint(HashID(m.ID))
 		}
-		t = &tracked{incarnation: m.Incarnation, domain: m.Domain, RuntimeState: RuntimeState{
-			FirstSeen: now, PeerWork: d.workAt(WorkID(m.ID, m.Incarnation)), HasPeerReports: d.heardFrom[m.Domain] > 0,
-			ModelRate: d.ratesOf(m.Endpoint.Model),
+		t = &trackedEndpoint{incarnation: m.Incarnation, domain: m.Domain, RuntimeState: RuntimeState{
+			FirstSeen: now, PeerWork: d.peerWorkOf(WorkID(m.ID, m.Incarnation)), HasPeerReports: d.reportingPeers[m.Domain] > 0,
+			ModelRate: d.modelRateOf(m.Endpoint.Model),
 		}}
-		if len(d.dynamic) == 0 || d.generation == 0 {
+		if len(d.tracked) == 0 || d.fleetGeneration == 0 {
 			// What this entry finds at its own start is not new to the fleet.
 			t.FirstSeen = now.Add(-slowStart)
 		}
-		d.dynamic[m.ID] = t
+		d.tracked[m.ID] = t
 	}
 	return t
 }
 
-func (d *Directory) ratesOf(model string) *rates {
-	if d.rates[model] == nil {
-		d.rates[model] = &rates{}
+func (d *Directory) modelRateOf(model string) *modelRate {
+	if d.modelRates[model] == nil {
+		d.modelRates[model] = &modelRate{}
 	}
-	return d.rates[model]
+	return d.modelRates[model]
 }
 
-func (d *Directory) forgetGone(members []fleet.Member) {
+func (d *Directory) removeDead(members []fleet.Member) {
 	live := map[string]bool{}
 	for _, m := range members {
 		live[m.ID] = m.State != fleet.Dead
 	}
-	for id, t := range d.dynamic {
+	for id, t := range d.tracked {
 		if !live[id] && t.Running == 0 {
-			delete(d.dynamic, id)
+			delete(d.tracked, id)
 		}
 	}
-	d.forgetIdleWork()
+	d.removeIdlePeerWork()
 }
 
-// forgetIdleWork drops the sums of endpoints that are not known and have no work.
-func (d *Directory) forgetIdleWork() {
-	known := make(map[uint32]bool, len(d.dynamic))
-	for id, t := range d.dynamic {
+// removeIdlePeerWork drops the sums of endpoints that are not known and have no work.
+func (d *Directory) removeIdlePeerWork() {
+	known := make(map[uint32]bool, len(d.tracked))
+	for id, t := range d.tracked {
 		known[WorkID(id, t.incarnation)] = true
 	}
 	for endpoint, sum := range d.peerWork {
@@ -159,7 +159,7 @@
 func (d *Directory) ApplyReports() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id, t := range d.dynamic {
+	for id, t := range d.tracked {
 		if r, ok := d.table.ReportOf(id); ok && r.Incarnation == t.incarnation {
 			t.observe(r.Load, r.At)
 		}
@@ -188,7 +188,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refresh(now)
-	t, ok := d.dynamic[member]
+	t, ok := d.tracked[member]
 	if !ok {
 		return
 	}
@@ -204,7 +204,7 @@
 func (d *Directory) ObserveLoad(c Choice, load fleet.Load, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if t := d.open(c); t != nil {
+	if t := d.trackedFor(c); t != nil {
 		t.observe(load, now)
 	}
 }
@@ -222,19 +222,19 @@
 	LoadSnapshot LoadSnapshot
 	holding      Holding
 	keys         []contextkey.Key
-	hash         uint64
+	endpointHash uint64
 	seen         bool
-	held         int
-	began        time.Time
-	reading      *reading
+	heldTokens   int
+	chosenAt     time.Time
+	prefill      *prefill
 }
 
-// reading is a run's prompt until its answer begins.
-type reading struct {
-	// tokens to be read for it, and queued before them, as decided.
-	tokens, queued int
-	urgency        int
-	ended          bool
+// prefill is a run's prompt until its answer begins.
+type prefill struct {
+	// tokens to be read for it, and queuedTokens before them, as decided.
+	tokens, queuedTokens int
+	urgency              int
+	done                 bool
 }
 
 // Choose decides for a service's request and counts it as sent; call Done when
@@ -243,15 +243,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refresh(r.Now)
-	var space [holders + 1]Holding
+	var buffer [holdersPerChunk + 1]Holding
 	if !r.HoldingsKnown {
-		r.Holdings = d.index.Lookup(keys, r.ChunkEnds, r.Now, space[:0])
+		r.Holdings = d.index.Lookup(keys, r.ChunkEnds, r.Now, buffer[:0])
 	}
 	seen := len(r.Holdings) > 0
 	if !r.SegmentsKnown {
 		r.ImportShare = d.index.ImportShare(seen)
 	}
-	r.ContextTokens, r.KnownTokens, r.KnownAge = tokensTo(r.ChunkEnds, len(keys)), 0, 0
+	r.ContextTokens, r.KnownTokens, r.KnownAge = tokensUpTo(r.ChunkEnds, len(keys)), 0, 0
 	for _, h := range r.Holdings {
 		if h.Tokens > r.KnownTokens {
 			r.KnownTokens, r.KnownAge = h.Tokens, h.Age
@@ -261,27 +261,27 @@
 		root := d.index.PlacementKey(keys)
 		r.PlacementHash = PlacementHash([]contextkey.Key{root}, "")
 	}
-	if list := d.services[service]; len(list) > 0 && !r.HoldingsKnown {
-		home := homesOf(list, r.PlacementHash)[0].Hash
-		r.Holdings = d.index.AddPreferred(home, r.ContextTokens, r.Holdings)
+	if list := d.endpoints[service]; len(list) > 0 && !r.HoldingsKnown {
+		preferred := preferredEndpoints(list, r.PlacementHash)[0].Hash
+		r.Holdings = d.index.AddPreferred(preferred, r.ContextTokens, r.Holdings)
 	}
 	if r.CrossDomainPenalty > 0 {
-		r.Local = d.near[service]
+		r.Local = d.localEndpoints[service]
 	}
-	v := Decide(d.services[service], r, d.random)
+	v := Decide(d.endpoints[service], r, d.random)
 	if v.Endpoint == nil {
 		return Choice{Refusal: v.Refusal}
 	}
 	e := v.Endpoint
-	believed := d.dynamic[e.ID].belief(r.Now)
+	snapshot := d.tracked[e.ID].snapshot(r.Now)
 	e.Running++
 	e.HeldTokens += r.HeldTokens
-	read := &reading{tokens: v.WorkTokens, queued: e.queuedTokens(r.Urgency), urgency: r.Urgency}
+	pending := &prefill{tokens: v.WorkTokens, queuedTokens: e.queuedTokens(r.Urgency), urgency: r.Urgency}
 	e.Unread[r.Urgency] += v.WorkTokens
-	d.dynamic[e.ID].sent(v.WorkTokens, r.Now)
+	d.tracked[e.ID].recordSend(v.WorkTokens, r.Now)
 	c := Choice{
-		Member: e.Member, Reason: v.Reason, TTFT: v.TTFT, Wait: v.Wait, CapacityWait: v.CapacityWait, CachedTokens: v.CachedTokens, keys: keys, hash: e.Hash, seen: seen,
-		held: r.HeldTokens, began: r.Now, LoadSnapshot: believed, reading: read,
+		Member: e.Member, Reason: v.Reason, TTFT: v.TTFT, Wait: v.Wait, CapacityWait: v.CapacityWait, CachedTokens: v.CachedTokens, keys: keys, endpointHash: e.Hash, seen: seen,
+		heldTokens: r.HeldTokens, chosenAt: r.Now, LoadSnapshot: snapshot, prefill: pending,
 	}
 	for _, h := range r.Holdings {
 		if h.Endpoint == e.Hash {
@@ -299,7 +299,7 @@
 	resident := cachedTokens - importedTokens
 	d.index.ObserveHit(c.holding, resident)
 	d.index.ObserveImport(c.seen, len(c.keys)*contextkey.PieceTokens-resident, importedTokens)
-	d.index.Add(c.keys, c.hash, now)
+	d.index.Add(c.keys, c.endpointHash, now)
 }
 
 // UsableMembers lists the members that a service may use now.
@@ -307,8 +307,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refresh(now)
-	out := make([]fleet.Member, 0, len(d.services[service]))
-	for _, e := range d.services[service] {
+	out := make([]fleet.Member, 0, len(d.endpoints[service]))
+	for _, e := range d.endpoints[service] {
 		out = append(out, e.Member)
 	}
 	return out
@@ -323,7 +323,7 @@
 	return d.capacity[service]
 }
 
-func sumCapacity(list []Endpoint) int {
+func totalCapacity(list []Endpoint) int {
 	sum := 0
 	for _, e := range list {
 		if e.MaxConcurrent == 0 {
--- a/internal/coordination/routing/holders_test.go
+++ b/internal/coordination/routing/holders_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// TestHolderOfTheWholeContextIsFound has every endpoint of the domain hold the first part of a
+// TestHolderOfWholeContextIsCandidate has every endpoint of the domain hold the first part of a
 // prompt, which all prompts of its kind begin with, and one hold the whole context.
 //
 // A decision looks at twenty endpoints at most. Filled with those that hold the beginning it left
 // out the one with the context half of the time, and 8,000 tokens were read again.
-func TestHolderOfTheWholeContextIsFound(t *testing.T) {
-	all := endpoints(36)
+func TestHolderOfWholeContextIsCandidate(t *testing.T) {
+	all := newEndpoints(36)
 	const whole = 29
-	random := random()
+	random := newRandom()
 	for n := range 200 {
-		r := request()
+		r := newRequest()
 		r.Local, r.HoldingsKnown, r.PlacementHash = all, true, uint64(n)
 		for i := range all {
 			h := Holding{Endpoint: all[i].Hash, Tokens: 500, Chance: 1}
@@ -30,22 +30,22 @@
 	}
 }
 
-// TestSharedBeginningDoesNotGatherPrompts sends prompts whose first part all endpoints hold, with
+// TestSharedPrefixDoesNotConcentratePrompts sends prompts whose first part all endpoints hold, with
 // reports that are a second old.
 //
 // All processes see the same reports. If each chose the best of all holders, the prompts of a
 // second would meet at the one that looked idle. A decision looks at ten endpoints, so that less
 // than a third of the prompts come to the one that looks best.
-func TestSharedBeginningDoesNotGatherPrompts(t *testing.T) {
-	all := endpoints(36)
+func TestSharedPrefixDoesNotConcentratePrompts(t *testing.T) {
+	all := newEndpoints(36)
 	for i := range all {
 		all[i].Load.QueuedTokens = 5000 + 100*i
 	}
-	random := random()
+	random := newRandom()
 	sent := map[string]int{}
 	const prompts = 720
 	for n := range prompts {
-		r := request()
+		r := newRequest()
 		r.Local, r.HoldingsKnown, r.PlacementHash = all, true, uint64(n)*1_000_003
 		for i := range all {
 			r.Holdings = append(r.Holdings, Holding{Endpoint: all[i].Hash, Tokens: 500, Chance: 1})
@@ -61,14 +61,14 @@
 	}
 }
 
-// TestRatesAreLearnedOfAllEngines lets a process see each of 36 engines once or twice, each four
+// TestPrefillRateIsLearnedAcrossEngines lets a process see each of 36 engines once or twice, each four
 // times as slow as assumed.
 //
 // Before, each engine's rate was learned of its own observations alone: a process of a large
 // fleet went on to expect a fourth of the real wait, and sent prompts to full engines.
-func TestRatesAreLearnedOfAllEngines(t *testing.T) {
+func TestPrefillRateIsLearnedAcrossEngines(t *testing.T) {
 	const assumed, real, count = 40_000, 10_000, 36
-	d, table := directoryOf(t, count)
+	d, table := newDirectory(t, count)
 	now := epoch
 	for _, m := range table.Members() {
 		d.SetProperties(m.ID, Properties{PrefillRate: assumed, CountsOnly: true, Slots: 64}, now)
@@ -76,13 +76,13 @@
 	const tokens = 10_000
 	choose := func(root uint64) Choice {
 		return d.Choose("s", nil, &Request{
-			PromptTokens: tokens, SegmentsKnown: true, HoldingsKnown: true, PlacementHash: mix(root), PlacementHashKnown: true, Now: now, Domain: "d",
+			PromptTokens: tokens, SegmentsKnown: true, HoldingsKnown: true, PlacementHash: splitMix64(root), PlacementHashKnown: true, Now: now, Domain: "d",
 		})
 	}
 	for n := range 60 {
 		now = now.Add(200 * time.Millisecond)
 		c := choose(uint64(n))
-		took := time.Duration(float64(c.reading.tokens+c.reading.queued) / real * float64(time.Second))
+		took := time.Duration(float64(c.prefill.tokens+c.prefill.queuedTokens) / real * float64(time.Second))
 		d.RecordFirstToken(c, now.Add(took))
 		d.Done(c, false, now.Add(took))
 	}
--- a/internal/coordination/routing/index.go
+++ b/internal/coordination/routing/index.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// holders is the number of endpoints remembered for a piece of context.
-	holders = 2
+	// holdersPerChunk is the number of endpoints remembered for a piece of context.
+	holdersPerChunk = 2
 	// ageBuckets count seconds by powers of two: the last holds about a day.
 	ageBuckets = 18
-	// learnRate is the weight of one observation of a bucket's hit rate.
-	learnRate = 0.05
+	// learningRate is the weight of one observation of a bucket's hit rate.
+	learningRate = 0.05
 )
 
 type holder struct {
 	endpoint uint64
-	at       int64
+	usedAt   int64
 }
 
 // Index remembers where this entry last sent a context. It is a hint: an engine
@@ -27,29 +27,29 @@
 // most size pieces; the older is dropped whole, without per-entry bookkeeping.
 type Index struct {
 	size     int
-	current  map[contextkey.Key][holders]holder
-	previous map[contextkey.Key][holders]holder
+	current  map[contextkey.Key][holdersPerChunk]holder
+	previous map[contextkey.Key][holdersPerChunk]holder
 	hitRate  [ageBuckets]float64
-	// homeRate is how much of a context its home is found to hold when this
+	// preferredHitRate is how much of a context its home is found to hold when this
 	// entry itself has not sent it there: other entries do.
-	homeRate float64
+	preferredHitRate float64
 	// branches tells prefixes that many contexts share.
 	branches map[contextkey.Key]branch
-	// importRate is the share of missing tokens that came from stores, for
+	// importShare is the share of missing tokens that came from stores, for
 	// contexts this entry has seen before (1) and has not (0).
-	importRate [2]float64
+	importShare [2]float64
 }
 
 // NewIndex returns an empty index of at most 2*size pieces.
 func NewIndex(size int) *Index {
-	x := &Index{size: size, current: map[contextkey.Key][holders]holder{}, branches: map[contextkey.Key]branch{}, homeRate: 0.5}
+	x := &Index{size: size, current: map[contextkey.Key][holdersPerChunk]holder{}, branches: map[contextkey.Key]branch{}, preferredHitRate: 0.5}
 	for i := range x.hitRate {
 		x.hitRate[i] = 1 - float64(i)/ageBuckets
 	}
 	return x
 }
 
-func bucket(age time.Duration) int {
+func ageBucket(age time.Duration) int {
 	return min(ageBuckets-1, bits.Len64(uint64(max(0, age)/time.Second)))
 }
 
@@ -59,15 +59,15 @@
 func (x *Index) Lookup(keys []contextkey.Key, ends []int, now time.Time, out []Holding) []Holding {
 	for i := len(keys) - 1; i >= 0; i-- {
 		for _, h := range x.holdersOf(keys[i]) {
-			if h.endpoint == 0 || has(out, h.endpoint) {
+			if h.endpoint == 0 || hasEndpoint(out, h.endpoint) {
 				continue
 			}
-			age := now.Sub(time.Unix(0, h.at))
+			age := now.Sub(time.Unix(0, h.usedAt))
 			out = append(out, Holding{
-				Endpoint: h.endpoint, Tokens: tokensTo(ends, i+1), Chance: x.hitRate[bucket(age)], Age: age,
+				Endpoint: h.endpoint, Tokens: tokensUpTo(ends, i+1), Chance: x.hitRate[ageBucket(age)], Age: age,
 			})
 		}
-		if len(out) >= holders {
+		if len(out) >= holdersPerChunk {
 			break
 		}
 	}
@@ -75,22 +75,22 @@
 }
 
 // holdersOf is where a piece was last sent; unused places have endpoint 0.
-func (x *Index) holdersOf(key contextkey.Key) [holders]holder {
+func (x *Index) holdersOf(key contextkey.Key) [holdersPerChunk]holder {
 	if found, ok := x.current[key]; ok {
 		return found
 	}
 	return x.previous[key]
 }
 
-// tokensTo counts the tokens of a context's first pieces.
-func tokensTo(ends []int, pieces int) int {
+// tokensUpTo counts the tokens of a context's first pieces.
+func tokensUpTo(ends []int, chunks int) int {
 	switch {
-	case pieces == 0:
+	case chunks == 0:
 		return 0
 	case ends == nil:
-		return pieces * contextkey.PieceTokens
+		return chunks * contextkey.PieceTokens
 	}
-	return ends[pieces-1]
+	return ends[chunks-1]
 }
 
 // branch counts how many different pieces follow a piece.
@@ -100,10 +100,10 @@
 }
 
 const (
-	// sharedFrom different continuations a piece counts as shared by many contexts.
-	sharedFrom = 8
-	// keptBranches bounds the pieces whose continuations are counted.
-	keptBranches = 20_000
+	// minSharedBranches different continuations a piece counts as shared by many contexts.
+	minSharedBranches = 8
+	// maxBranches bounds the pieces whose continuations are counted.
+	maxBranches = 20_000
 )
 
 // PlacementKey names a context for computed placement: its first piece that is not
@@ -113,14 +113,14 @@
 func (x *Index) PlacementKey(keys []contextkey.Key) contextkey.Key {
 	for i := range len(keys) - 1 {
 		b := x.branches[keys[i]]
-		if b.last != keys[i+1] && b.count < sharedFrom {
-			if len(x.branches) >= keptBranches {
+		if b.last != keys[i+1] && b.count < minSharedBranches {
+			if len(x.branches) >= maxBranches {
 				clear(x.branches)
 			}
 			b = branch{last: keys[i+1], count: b.count + 1}
 			x.branches[keys[i]] = b
 		}
-		if b.count < sharedFrom {
+		if b.count < minSharedBranches {
 			return keys[i]
 		}
 	}
@@ -131,14 +131,14 @@
 // compute the same home, so a context that one of them sent there is found by
 // the others without a word between them; without it each entry would build a
 // copy of its own in another engine's memory.
-func (x *Index) AddPreferred(home uint64, tokens int, out []Holding) []Holding {
-	if tokens == 0 || has(out, home) {
+func (x *Index) AddPreferred(preferred uint64, tokens int, out []Holding) []Holding {
+	if tokens == 0 || hasEndpoint(out, preferred) {
 		return out
 	}
-	return append(out, Holding{Endpoint: home, Tokens: tokens, Chance: x.homeRate, Preferred: true})
+	return append(out, Holding{Endpoint: preferred, Tokens: tokens, Chance: x.preferredHitRate, Preferred: true})
 }
 
-func has(list []Holding, endpoint uint64) bool {
+func hasEndpoint(list []Holding, endpoint uint64) bool {
 	for _, h := range list {
 		if h.Endpoint == endpoint {
 			return true
@@ -157,28 +157,28 @@
 		if entry[0].endpoint != endpoint {
 			entry[1] = entry[0]
 		}
-		entry[0] = holder{endpoint: endpoint, at: now.UnixNano()}
+		entry[0] = holder{endpoint: endpoint, usedAt: now.UnixNano()}
 		x.current[key] = entry
 	}
 	if len(x.current) >= x.size {
-		x.previous, x.current = x.current, make(map[contextkey.Key][holders]holder, x.size/4)
+		x.previous, x.current = x.current, make(map[contextkey.Key][holdersPerChunk]holder, x.size/4)
 	}
 }
 
 // RemoveEndpoint drops all that an endpoint is remembered to hold.
 func (x *Index) RemoveEndpoint(endpoint uint64) {
-	for _, generation := range []map[contextkey.Key][holders]holder{x.current, x.previous} {
+	for _, generation := range []map[contextkey.Key][holdersPerChunk]holder{x.current, x.previous} {
 		for key, list := range generation {
-			left := [holders]holder{}
+			remaining := [holdersPerChunk]holder{}
 			n := 0
 			for _, h := range list {
 				if h.endpoint != endpoint {
-					left[n] = h
+					remaining[n] = h
 					n++
 				}
 			}
-			if left != list {
-				generation[key] = left
+			if remaining != list {
+				generation[key] = remaining
 			}
 		}
 	}
@@ -190,18 +190,18 @@
 		return
 	}
 	hit := min(1, float64(cachedTokens)/float64(h.Tokens))
-	rate := &x.hitRate[bucket(h.Age)]
+	rate := &x.hitRate[ageBucket(h.Age)]
 	if h.Preferred {
-		rate = &x.homeRate
+		rate = &x.preferredHitRate
 	}
-	*rate += learnRate * (hit - *rate)
+	*rate += learningRate * (hit - *rate)
 }
 
 // Len is the number of pieces remembered.
 func (x *Index) Len() int { return len(x.current) + len(x.previous) }
 
 // ImportShare is the share of a context's missing tokens that stores hold.
-func (x *Index) ImportShare(seen bool) float64 { return x.importRate[asIndex(seen)] }
+func (x *Index) ImportShare(seen bool) float64 { return x.importShare[asIndex(seen)] }
 
 func asIndex(b bool) int {
 	if b {
@@ -215,6 +215,6 @@
 	if missing <= 0 {
 		return
 	}
-	rate := &x.importRate[asIndex(seen)]
-	*rate += learnRate * (min(1, float64(imported)/float64(missing)) - *rate)
+	rate := &x.importShare[asIndex(seen)]
+	*rate += learningRate * (min(1, float64(imported)/float64(missing)) - *rate)
 }
--- a/internal/coordination/routing/outcome.go
+++ b/internal/coordination/routing/outcome.go
@@ -9,103 +9,105 @@
 func (d *Directory) RecordFirstToken(c Choice, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t := d.open(c)
-	if t == nil || c.reading.ended {
+	t := d.trackedFor(c)
+	if t == nil || c.prefill.done {
 		return
 	}
-	t.endReading(c)
-	t.learnRate(c.reading.tokens+c.reading.queued, now.Sub(c.began))
+	t.finishPrefill(c)
+	t.observePrefillRate(c.prefill.tokens+c.prefill.queuedTokens, now.Sub(c.chosenAt))
 }
 
-// endReading takes a run's prompt out of what is still to be read.
-func (t *tracked) endReading(c Choice) {
-	if c.reading.ended {
+// finishPrefill takes a run's prompt out of what is still to be read.
+func (t *trackedEndpoint) finishPrefill(c Choice) {
+	if c.prefill.done {
 		return
 	}
-	c.reading.ended = true
-	t.Unread[c.reading.urgency] -= c.reading.tokens
+	c.prefill.done = true
+	t.Unread[c.prefill.urgency] -= c.prefill.tokens
 }
 
 const (
-	// learnFrom this many tokens on, the time to the first token tells how fast an
+	// minRateSampleTokens this many tokens on, the time to the first token tells how fast an
 	// engine reads; below, fixed costs outweigh it.
-	learnFrom = 2000
-	// rateWeight of one observation.
-	rateWeight = 0.1
-	// rateSpread bounds what is learned, as a factor of what was assumed: a run that
+	minRateSampleTokens = 2000
+	// rateSampleWeight of one observation.
+	rateSampleWeight = 0.1
+	// maxRateFactor bounds what is learned, as a factor of what was assumed: a run that
 	// waited for something else says nothing about reading.
-	rateSpread = 6
-	// allRatesWeight of one observation among those of all engines of a model: with five a
+	maxRateFactor = 6
+	// modelRateSampleWeight of one observation among those of all engines of a model: with five a
 	// second the mean follows within seconds.
-	allRatesWeight = 0.05
-	// allRatesStand is how many of an engine's own observations the mean of all engines
+	modelRateSampleWeight = 0.05
+	// modelRatePriorSamples is how many of an engine's own observations the mean of all engines
 	// stands for, and mostRatesSeen how many of its own count at most.
-	allRatesStand = 8
-	mostRatesSeen = 24
+	modelRatePriorSamples = 8
+	maxRateSamples        = 24
 )
 
-// rates is how fast all engines of a model are seen to read, by this process. In a large fleet
+// modelRate is how fast all engines of a model are seen to read, by this process. In a large fleet
 // a process sees each engine's rate every few seconds at best: with 36 engines to each of a
 // hundred processes, prompts that were expected to begin after 0.45 s did so after 1.5 s, and
 // were sent to full engines instead of being refused.
-type rates struct {
+type modelRate struct {
 	// mean in tokens per second, 0 before the first observation.
 	mean float64
 }
 
-func (r *rates) learn(assumed, seen float64) {
+func (r *modelRate) observe(assumed, observed float64) {
 	if r.mean == 0 {
 		r.mean = assumed
 	}
-	r.mean = meanRate(r.mean, seen, allRatesWeight)
+	r.mean = harmonicMean(r.mean, observed, modelRateSampleWeight)
 }
 
-// rate is an engine's own, as far as it was seen, and else that of all.
-func (r *rates) rate(own float64, seen int) float64 {
+// blend is an engine's own, as far as it was seen, and else that of all.
+func (r *modelRate) blend(own float64, samples int) float64 {
 	if r == nil || r.mean == 0 {
 		return own
 	}
-	return meanRate(r.mean, own, float64(seen)/float64(seen+allRatesStand))
+	return harmonicMean(r.mean, own, float64(samples)/float64(samples+modelRatePriorSamples))
 }
 
-// learnRate corrects the assumed reading rate by what was seen. The rate of a busy
+// observePrefillRate corrects the assumed reading rate by what was seen. The rate of a busy
 // engine includes what it does between the pieces of a prompt.
-func (t *tracked) learnRate(tokens int, took time.Duration) {
-	if !t.CountsOnly || tokens < learnFrom || took <= 0 || t.assumedRate == 0 {
+func (t *trackedEndpoint) observePrefillRate(tokens int, took time.Duration) {
+	if !t.CountsOnly || tokens < minRateSampleTokens || took <= 0 || t.assumedRate == 0 {
 		return
 	}
-	seen := float64(tokens) / took.Seconds()
-	seen = max(seen, t.assumedRate/rateSpread)
-	seen = min(seen, t.assumedRate*rateSpread)
-	t.Load.PrefillRate = int(meanRate(float64(t.Load.PrefillRate), seen, rateWeight))
-	t.RateSamples = min(t.RateSamples+1, mostRatesSeen)
-	t.ModelRate.learn(t.assumedRate, seen)
+	observed := float64(tokens) / took.Seconds()
+	observed = max(observed, t.assumedRate/maxRateFactor)
+	observed = min(observed, t.assumedRate*maxRateFactor)
+	t.Load.PrefillRate = int(harmonicMean(float64(t.Load.PrefillRate), observed, rateSampleWeight))
+	t.RateSamples = min(t.RateSamples+1, maxRateSamples)
+	t.ModelRate.observe(t.assumedRate, observed)
 }
 
-// meanRate moves a mean rate towards one that was seen. Times add up, rates don't: the mean
+// harmonicMean moves a mean rate towards one that was seen. Times add up, rates don't: the mean
 // is taken of the time for a token.
-func meanRate(mean, seen, weight float64) float64 { return 1 / ((1-weight)/mean + weight/seen) }
+func harmonicMean(mean, observed, weight float64) float64 {
+	return 1 / ((1-weight)/mean + weight/observed)
+}
 
-// open finds a choice's endpoint if it is still the one that was chosen; d.mu is
+// trackedFor finds a choice's endpoint if it is still the one that was chosen; d.mu is
 // held.
-func (d *Directory) open(c Choice) *tracked {
-	t, ok := d.dynamic[c.Member.ID]
+func (d *Directory) trackedFor(c Choice) *trackedEndpoint {
+	t, ok := d.tracked[c.Member.ID]
 	if !ok || t.incarnation != c.Member.Incarnation {
 		return nil
 	}
 	return t
 }
 
-// end takes a choice's run out of the counts; d.mu is held. nil means that its
+// removeRun takes a choice's run out of the counts; d.mu is held. nil means that its
 // endpoint is gone.
-func (d *Directory) end(c Choice) *tracked {
-	t := d.open(c)
+func (d *Directory) removeRun(c Choice) *trackedEndpoint {
+	t := d.trackedFor(c)
 	if t == nil {
 		return nil
 	}
 	t.Running--
-	t.HeldTokens -= c.held
-	t.endReading(c)
+	t.HeldTokens -= c.heldTokens
+	t.finishPrefill(c)
 	return t
 }
 
@@ -114,13 +116,13 @@
 func (d *Directory) Done(c Choice, failed bool, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t := d.end(c)
+	t := d.removeRun(c)
 	if t == nil {
 		return
 	}
 	if !failed {
 		t.failures, t.ejections = 0, 0
-		t.learnRunTime(now.Sub(c.began))
+		t.observeRunTime(now.Sub(c.chosenAt))
 		return
 	}
 	t.failures++
@@ -135,7 +137,7 @@
 func (d *Directory) DoneUnreachable(c Choice, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if t := d.end(c); t != nil && !t.EjectedUntil.After(now) {
+	if t := d.removeRun(c); t != nil && !t.EjectedUntil.After(now) {
 		t.eject(now, d.random)
 	}
 }
@@ -144,22 +146,22 @@
 func (d *Directory) Release(c Choice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.end(c)
+	d.removeRun(c)
 }
 
-// refusalPause is about the time in which a full endpoint ends a run.
-const refusalPause = 100 * time.Millisecond
+// refusalEjection is about the time in which a full endpoint ends a run.
+const refusalEjection = 100 * time.Millisecond
 
 // DoneRefused ends a choice's run that the endpoint did not accept: it is full or
 // busy with an order, and others are asked for a moment.
 func (d *Directory) DoneRefused(c Choice, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t := d.end(c)
+	t := d.removeRun(c)
 	if t == nil {
 		return
 	}
-	if until := now.Add(refusalPause); until.After(t.EjectedUntil) {
+	if until := now.Add(refusalEjection); until.After(t.EjectedUntil) {
 		t.EjectedUntil = until
 	}
 }
@@ -169,11 +171,11 @@
 func (d *Directory) RecordSent(c Choice, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.index.Add(c.keys, c.hash, now)
+	d.index.Add(c.keys, c.endpointHash, now)
 }
 
-// learnRunTime keeps a moving average of how long a whole run takes.
-func (t *tracked) learnRunTime(took time.Duration) {
+// observeRunTime keeps a moving average of how long a whole run takes.
+func (t *trackedEndpoint) observeRunTime(took time.Duration) {
 	const weight = 16
 	if t.RunTime == 0 {
 		t.RunTime = took
@@ -184,8 +186,8 @@
 
 // eject doubles the time out of decisions, with jitter so that entries do not
 // all return at once to an endpoint that is just recovering.
-func (t *tracked) eject(now time.Time, random *rand.Rand) {
-	length := min(maxEjection, firstEjection<<min(t.ejections, 5))
+func (t *trackedEndpoint) eject(now time.Time, random *rand.Rand) {
+	length := min(maxEjection, minEjection<<min(t.ejections, 5))
 	t.EjectedUntil = now.Add(length/2 + time.Duration(random.Int64N(int64(length/2)+1)))
 	t.failures = 0
 	t.ejections++
--- a/internal/coordination/routing/peers.go
+++ b/internal/coordination/routing/peers.go
@@ -20,7 +20,7 @@
 // tell a thousand apart, and reports are many. What processes had underway at an earlier
 // start is no work of the present one.
 func WorkID(id string, incarnation uint64) uint32 {
-	return uint32((HashID(id) ^ mix(incarnation)) >> 32)
+	return uint32((HashID(id) ^ splitMix64(incarnation)) >> 32)
 }
 
 // PeerReport is all that another process has underway.
@@ -38,20 +38,20 @@
 // peer is what was last heard of one other process.
 type peer struct {
 	PeerReport
-	heard time.Time
+	receivedAt time.Time
 }
 
-// peerForgottenAfter is when the last report of a silent peer no longer counts. Its
+// peerReportTTL is when the last report of a silent peer no longer counts. Its
 // requests end within a second or two, or the process is gone. Of ten peers each is
 // heard every 0.6 s, of fifty every 3 s.
-const peerForgottenAfter = 3 * time.Second
+const peerReportTTL = 3 * time.Second
 
 // OwnWork lists what this process has underway, for its peers.
 func (d *Directory) OwnWork() []Work {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []Work
-	for id, t := range d.dynamic {
+	for id, t := range d.tracked {
 		if t.Running > 0 {
 			out = append(out, Work{Endpoint: WorkID(id, t.incarnation), Running: t.Running, HeldTokens: t.HeldTokens, Unread: t.Unread})
 		}
@@ -63,16 +63,16 @@
 func (d *Directory) ApplyPeerReport(r PeerReport, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known, ok := d.peers[r.Sender]
-	if ok && r.Number <= known.Number {
+	last, ok := d.peers[r.Sender]
+	if ok && r.Number <= last.Number {
 		return
 	}
-	d.countPeer(known.PeerReport, -1)
+	d.addPeerWork(last.PeerReport, -1)
 	if r.Leaving {
 		delete(d.peers, r.Sender)
 		return
 	}
-	d.countPeer(r, 1)
+	d.addPeerWork(r, 1)
 	d.peers[r.Sender] = peer{r, now}
 }
 
@@ -81,24 +81,24 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for sender, p := range d.peers {
-		if now.Sub(p.heard) > peerForgottenAfter {
-			d.countPeer(p.PeerReport, -1)
+		if now.Sub(p.receivedAt) > peerReportTTL {
+			d.addPeerWork(p.PeerReport, -1)
 			delete(d.peers, sender)
 		}
 	}
 }
 
-// countPeer adds a report's work to the endpoints', or with sign -1 takes it out.
-func (d *Directory) countPeer(r PeerReport, sign int) {
+// addPeerWork adds a report's work to the endpoints', or with sign -1 takes it out.
+func (d *Directory) addPeerWork(r PeerReport, sign int) {
 	if r.Domain == "" {
 		return
 	}
-	d.heardFrom[r.Domain] += sign
-	for _, t := range d.dynamic {
-		t.HasPeerReports = d.heardFrom[t.domain] > 0
+	d.reportingPeers[r.Domain] += sign
+	for _, t := range d.tracked {
+		t.HasPeerReports = d.reportingPeers[t.domain] > 0
 	}
 	for _, w := range r.Work {
-		sum := d.workAt(w.Endpoint)
+		sum := d.peerWorkOf(w.Endpoint)
 		sum.Running += sign * w.Running
 		sum.HeldTokens += sign * w.HeldTokens
 		for u, tokens := range w.Unread {
@@ -107,9 +107,9 @@
 	}
 }
 
-// workAt is the sum of what peers have underway at an endpoint. A report may name
+// peerWorkOf is the sum of what peers have underway at an endpoint. A report may name
 // one that this process has not discovered yet.
-func (d *Directory) workAt(endpoint uint32) *Work {
+func (d *Directory) peerWorkOf(endpoint uint32) *Work {
 	sum := d.peerWork[endpoint]
 	if sum == nil {
 		sum = &Work{Endpoint: endpoint}
--- a/internal/coordination/routing/peers_test.go
+++ b/internal/coordination/routing/peers_test.go
@@ -14,35 +14,35 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// workID of an endpoint "eN" of directoryOf, whose incarnation is N+1; of any other 9.
-func workID(id string) uint32 {
+// workIDOf of an endpoint "eN" of directoryOf, whose incarnation is N+1; of any other 9.
+func workIDOf(id string) uint32 {
 	if n, err := strconv.ParseUint(strings.TrimPrefix(id, "e"), 10, 64); err == nil {
 		return WorkID(id, n+1)
 	}
 	return WorkID(id, 9)
 }
 
-func work(id string, running int, unread int) Work {
-	w := Work{Endpoint: workID(id), Running: running, HeldTokens: 10 * unread}
+func newWork(id string, running int, unread int) Work {
+	w := Work{Endpoint: workIDOf(id), Running: running, HeldTokens: 10 * unread}
 	w.Unread[2] = unread
 	return w
 }
 
-// countsOnly makes the directory's endpoints report counts of requests only.
-func countsOnly(d *Directory, ids ...string) {
+// setCountsOnly makes the directory's endpoints report counts of requests only.
+func setCountsOnly(d *Directory, ids ...string) {
 	for _, id := range ids {
 		d.UsableMembers("s", epoch)
 		d.SetProperties(id, Properties{Slots: 64, MemoryTokens: 90_000, PrefillRate: 50_000, CountsOnly: true}, epoch)
 	}
 }
 
-// TestPeersWorkCounts lets another process fill one of two engines.
+// TestPeerReports lets another process fill one of two engines.
 //
 // Neither engine has answered this process lately, so only the other's report tells.
 // The idle one is chosen while the report stands; when the peer leaves, or falls
 // silent, its work no longer counts.
-func TestPeersWorkCounts(t *testing.T) {
-	busy := PeerReport{Sender: 7, Number: 2, Domain: "d", Work: []Work{work("e0", 20, 60_000)}}
+func TestPeerReports(t *testing.T) {
+	busy := PeerReport{Sender: 7, Number: 2, Domain: "d", Work: []Work{newWork("e0", 20, 60_000)}}
 	chosen := func(d *Directory, now time.Time) map[string]int {
 		counts := map[string]int{}
 		for range 40 {
@@ -62,11 +62,11 @@
 		{"another peer has nothing underway", func(d *Directory) { d.ApplyPeerReport(PeerReport{Sender: 8, Number: 1, Domain: "d"}, epoch) }, true},
 		{"done", func(d *Directory) { d.ApplyPeerReport(PeerReport{Sender: 7, Number: 3, Domain: "d"}, epoch) }, false},
 		{"leaving", func(d *Directory) { d.ApplyPeerReport(PeerReport{Sender: 7, Number: 3, Leaving: true}, epoch) }, false},
-		{"silent", func(d *Directory) { d.ExpirePeers(epoch.Add(peerForgottenAfter + time.Second)) }, false},
+		{"silent", func(d *Directory) { d.ExpirePeers(epoch.Add(peerReportTTL + time.Second)) }, false},
 	}
 	for _, row := range rows {
-		d, _ := directoryOf(t, 2)
-		countsOnly(d, "e0", "e1")
+		d, _ := newDirectory(t, 2)
+		setCountsOnly(d, "e0", "e1")
 		d.ApplyPeerReport(busy, epoch)
 		row.change(d)
 		counts := chosen(d, epoch)
@@ -76,59 +76,59 @@
 	}
 }
 
-// TestPeersWorkOfUnknownEndpoints counts a report that comes before the endpoint is
+// TestPeerReportsOfUnknownEndpoints counts a report that comes before the endpoint is
 // discovered, and forgets sums of endpoints that nobody knows.
-func TestPeersWorkOfUnknownEndpoints(t *testing.T) {
-	d, table := directoryOf(t, 1)
-	d.ApplyPeerReport(PeerReport{Sender: 7, Number: 1, Domain: "d", Work: []Work{work("late", 3, 500), work("never", 1, 1)}}, epoch)
+func TestPeerReportsOfUnknownEndpoints(t *testing.T) {
+	d, table := newDirectory(t, 1)
+	d.ApplyPeerReport(PeerReport{Sender: 7, Number: 1, Domain: "d", Work: []Work{newWork("late", 3, 500), newWork("never", 1, 1)}}, epoch)
 	table.Merge(fleet.Member{
 		ID: "late", Incarnation: 9, Version: 1, Domain: "d",
 		Endpoint: fleet.Endpoint{ID: "late", Labels: map[string]string{"pool": "x"}, Model: "m", WeightVersion: "v1"},
 	}, epoch)
 	d.UsableMembers("s", epoch)
-	if got := d.dynamic["late"].PeerWork.Running; got != 3 {
+	if got := d.tracked["late"].PeerWork.Running; got != 3 {
 		t.Errorf("%d runs of peers at an endpoint that was discovered later", got)
 	}
 	d.ApplyPeerReport(PeerReport{Sender: 7, Number: 2, Leaving: true}, epoch)
-	d.forgetGone(table.Members())
+	d.removeDead(table.Members())
 	if len(d.peerWork) != 2 {
 		t.Errorf("sums of %d endpoints are kept, 2 are known", len(d.peerWork))
 	}
 }
 
-// TestEndpointThatStartsAnewHasNothing lets an endpoint start again under its id while runs
+// TestRestartedEndpointStartsEmpty lets an endpoint start again under its id while runs
 // of this process and of others are underway there, and contexts were sent there.
 //
 // The runs have ended with the earlier start: they must not make the new one look full, and
 // their late ends must not be counted there. It holds no context.
-func TestEndpointThatStartsAnewHasNothing(t *testing.T) {
-	d, table := directoryOf(t, 1)
-	countsOnly(d, "e0")
+func TestRestartedEndpointStartsEmpty(t *testing.T) {
+	d, table := newDirectory(t, 1)
+	setCountsOnly(d, "e0")
 	keys := []contextkey.Key{{1}, {2}, {3}}
-	underway := d.Choose("s", keys, &Request{PromptTokens: 900, HeldTokens: 1000, Urgency: 1, Now: epoch})
-	d.RecordSent(underway, epoch)
-	d.ApplyPeerReport(PeerReport{Sender: 7, Number: 1, Domain: "d", Work: []Work{work("e0", 5, 800)}}, epoch)
+	inFlight := d.Choose("s", keys, &Request{PromptTokens: 900, HeldTokens: 1000, Urgency: 1, Now: epoch})
+	d.RecordSent(inFlight, epoch)
+	d.ApplyPeerReport(PeerReport{Sender: 7, Number: 1, Domain: "d", Work: []Work{newWork("e0", 5, 800)}}, epoch)
 	m, _ := table.Get("e0")
 	m.Incarnation, m.Version = 77, m.Version+1
 	table.Merge(m, epoch)
 	d.UsableMembers("s", epoch)
-	e := d.dynamic["e0"]
+	e := d.tracked["e0"]
 	if e.Running != 0 || e.HeldTokens != 0 || e.PeerWork.Running != 0 || len(d.index.Lookup(keys, nil, epoch, nil)) != 0 {
 		t.Errorf("the new start has %+v, peers' %+v", e.RuntimeState, e.PeerWork)
 	}
-	d.ObserveLoad(underway, fleet.Load{Running: 40, AtMS: epoch.UnixMilli()}, epoch)
-	d.Done(underway, true, epoch)
+	d.ObserveLoad(inFlight, fleet.Load{Running: 40, AtMS: epoch.UnixMilli()}, epoch)
+	d.Done(inFlight, true, epoch)
 	if e.Running != 0 || e.Load.Running != 0 || e.failures != 0 {
 		t.Errorf("after the earlier start's end: %+v", e.RuntimeState)
 	}
 }
 
 func TestOwnWork(t *testing.T) {
-	d, _ := directoryOf(t, 1)
-	countsOnly(d, "e0")
+	d, _ := newDirectory(t, 1)
+	setCountsOnly(d, "e0")
 	c := d.Choose("s", nil, &Request{PromptTokens: 900, HeldTokens: 1000, Urgency: 1, Now: epoch})
 	own := d.OwnWork()
-	if len(own) != 1 || own[0].Endpoint != workID("e0") || own[0].Running != 1 || own[0].HeldTokens != 1000 || own[0].Unread[1] != 900 {
+	if len(own) != 1 || own[0].Endpoint != workIDOf("e0") || own[0].Running != 1 || own[0].HeldTokens != 1000 || own[0].Unread[1] != 900 {
 		t.Errorf("%+v", own)
 	}
 	d.Done(c, false, epoch)
@@ -137,27 +137,27 @@
 	}
 }
 
-// domains spreads n endpoints over three failure domains.
-func domains(n int) (all, near []Endpoint) {
-	all = endpoints(n)
+// newEndpointsInDomains spreads n endpoints over three failure newEndpointsInDomains.
+func newEndpointsInDomains(n int) (all, local []Endpoint) {
+	all = newEndpoints(n)
 	for i := range all {
 		all[i].Domain = fmt.Sprint("d", i%3)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Hash < all[j].Hash })
-	return all, inDomain(all, "d0")
+	return all, endpointsInDomain(all, "d0")
 }
 
-// TestLargeFleetsStayInTheirDomain decides before 55 engines.
+// TestLargeFleetStaysInLocalDomain decides before 55 engines.
 //
 // Engines of other domains look idle to a process that hears nothing of who else sends
 // them work: with a few of them among the candidates, half of all requests went there
 // together. They are looked at only when no near one can be used.
-func TestLargeFleetsStayInTheirDomain(t *testing.T) {
-	all, near := domains(55)
-	r, x := request(), random()
-	r.Domain, r.Local = "d0", near
-	for i := range near {
-		near[i].Load.QueuedTokens = 40_000
+func TestLargeFleetStaysInLocalDomain(t *testing.T) {
+	all, local := newEndpointsInDomains(55)
+	r, x := newRequest(), newRandom()
+	r.Domain, r.Local = "d0", local
+	for i := range local {
+		local[i].Load.QueuedTokens = 40_000
 	}
 	for range 200 {
 		r.PlacementHash = x.Uint64()
@@ -165,8 +165,8 @@
 			t.Fatalf("sent to %s", v.Endpoint.Domain)
 		}
 	}
-	for i := range near {
-		near[i].EjectedUntil = r.Now.Add(time.Second)
+	for i := range local {
+		local[i].EjectedUntil = r.Now.Add(time.Second)
 	}
 	if v := Decide(all, r, x); v.Endpoint.Domain == "d0" {
 		t.Error("an ejected endpoint is preferred to other domains")
@@ -177,69 +177,69 @@
 	}
 }
 
-// TestSharedWorkShortensWaits plays ten processes before eighteen engines at three
+// TestPeerReportsShortenWaits plays ten processes before eighteen engines at three
 // quarters of their reading rate, with prompts of 800 and of 12,000 tokens.
 //
 // Each process sees a queue of an engine only through its own requests, and those come
 // every second. When each tells the others every 250 ms what it has unread, the slowest
 // twentieth waits less: 456 instead of 588 ms.
-func TestSharedWorkShortensWaits(t *testing.T) {
-	alone, shared := playSharedWork(t, 0), playSharedWork(t, playProcesses-1)
-	t.Logf("wait of the slowest twentieth: %s alone, %s with shared work", alone, shared)
-	if shared > alone*85/100 {
-		t.Errorf("%s with shared work, %s without", shared, alone)
+func TestPeerReportsShortenWaits(t *testing.T) {
+	without, with := simulatePeerReports(t, 0), simulatePeerReports(t, simProcesses-1)
+	t.Logf("wait of the slowest twentieth: %s alone, %s with shared work", without, with)
+	if with > without*85/100 {
+		t.Errorf("%s with shared work, %s without", with, without)
 	}
 }
 
-// sharedWorkPlay is a load of prompts before engines that read one after the other.
-type sharedWorkPlay struct {
+// peerReportSimulation is a load of prompts before engines that read one after the other.
+type peerReportSimulation struct {
 	random *rand.Rand
 	now    time.Time
 	dirs   []*Directory
-	// free is when each engine has read all that it was sent.
-	free     map[string]time.Time
-	underway []unreadPrompt
+	// idleAt is when each engine has read all that it was sent.
+	idleAt   map[string]time.Time
+	inFlight []inFlightPrompt
 	waits    []time.Duration
 	reports  uint64
 }
 
-// unreadPrompt is a prompt until its engine has read it.
-type unreadPrompt struct {
-	read   time.Time
-	d      *Directory
-	choice Choice
+// inFlightPrompt is a prompt until its engine has read it.
+type inFlightPrompt struct {
+	prefilledAt time.Time
+	d           *Directory
+	choice      Choice
 }
 
 const (
-	playProcesses = 10
-	playEngines   = 18
-	// playRate is an engine's, in tokens per second.
-	playRate  = 50_000
-	playEvery = 250 * time.Millisecond
+	simProcesses = 10
+	simEngines   = 18
+	// simPrefillRate is an engine's, in tokens per second.
+	simPrefillRate    = 50_000
+	simReportInterval = 250 * time.Millisecond
 )
 
-// playSharedWork returns the wait of the slowest twentieth.
-func playSharedWork(t *testing.T, fanout int) time.Duration {
+// simulatePeerReports returns the wait of the slowest twentieth.
+func simulatePeerReports(t *testing.T, fanout int) time.Duration {
 	const (
 		prompts    = 20_000
 		meanTokens = 3900
 		load       = 0.75
 	)
-	p := &sharedWorkPlay{random: rand.New(rand.NewPCG(3, 3)), now: epoch.Add(slowStart), free: map[string]time.Time{}}
-	for i := range playProcesses {
-		d, _ := directoryOf(t, playEngines)
+	p := &peerReportSimulation{random: rand.New(rand.NewPCG(3, 3)), now: epoch.Add(slowStart), idleAt: map[string]time.Time{}}
+	for i := range simProcesses {
+		d, _ := newDirectory(t, simEngines)
 		d.random = rand.New(rand.NewPCG(uint64(i), 1))
-		for e := range playEngines {
-			countsOnly(d, fmt.Sprint("e", e))
+		for e := range simEngines {
+			setCountsOnly(d, fmt.Sprint("e", e))
 		}
 		p.dirs = append(p.dirs, d)
 	}
 	next := p.now
 	for range prompts {
-		p.now = p.now.Add(time.Duration(p.random.ExpFloat64() * meanTokens / (playEngines * playRate * load) * float64(time.Second)))
-		p.endRead()
+		p.now = p.now.Add(time.Duration(p.random.ExpFloat64() * meanTokens / (simEngines * simPrefillRate * load) * float64(time.Second)))
+		p.finishPrompts()
 		for fanout > 0 && next.Before(p.now) {
-			next = next.Add(playEvery / playProcesses)
+			next = next.Add(simReportInterval / simProcesses)
 			p.report(fanout)
 		}
 		p.send()
@@ -248,44 +248,44 @@
 	return p.waits[len(p.waits)*19/20]
 }
 
-// endRead ends the prompts that have been read by now.
-func (p *sharedWorkPlay) endRead() {
-	sort.Slice(p.underway, func(i, j int) bool { return p.underway[i].read.Before(p.underway[j].read) })
-	for len(p.underway) > 0 && !p.underway[0].read.After(p.now) {
-		u := p.underway[0]
-		u.d.RecordFirstToken(u.choice, u.read)
-		u.d.Done(u.choice, false, u.read)
-		p.underway = p.underway[1:]
+// finishPrompts ends the prompts that have been read by now.
+func (p *peerReportSimulation) finishPrompts() {
+	sort.Slice(p.inFlight, func(i, j int) bool { return p.inFlight[i].prefilledAt.Before(p.inFlight[j].prefilledAt) })
+	for len(p.inFlight) > 0 && !p.inFlight[0].prefilledAt.After(p.now) {
+		u := p.inFlight[0]
+		u.d.RecordFirstToken(u.choice, u.prefilledAt)
+		u.d.Done(u.choice, false, u.prefilledAt)
+		p.inFlight = p.inFlight[1:]
 	}
 }
 
 // report lets one process tell the next of the others.
-func (p *sharedWorkPlay) report(fanout int) {
-	from := int(p.reports % playProcesses)
-	round := int(p.reports / playProcesses)
+func (p *peerReportSimulation) report(fanout int) {
+	from := int(p.reports % simProcesses)
+	round := int(p.reports / simProcesses)
 	p.reports++
 	r := PeerReport{Sender: uint64(from + 1), Number: p.reports, Domain: "d", Work: p.dirs[from].OwnWork()}
 	for i := range fanout {
-		p.dirs[(from+1+(round*fanout+i)%(playProcesses-1))%playProcesses].ApplyPeerReport(r, p.now)
+		p.dirs[(from+1+(round*fanout+i)%(simProcesses-1))%simProcesses].ApplyPeerReport(r, p.now)
 	}
 }
 
-func (p *sharedWorkPlay) send() {
+func (p *peerReportSimulation) send() {
 	tokens := 800
 	if p.random.Float64() < 0.277 {
 		tokens = 12_000
 	}
-	d := p.dirs[p.random.IntN(playProcesses)]
+	d := p.dirs[p.random.IntN(simProcesses)]
 	c := d.Choose("s", []contextkey.Key{{byte(p.random.IntN(256)), byte(p.random.IntN(256))}}, &Request{
 		PromptTokens: tokens, Now: p.now, Domain: "d", CrossDomainPenalty: 0.02, HoldingsKnown: true,
 		Objective: config.Objective{WeightTTFT: 1, TTFTMS: 1000},
 	})
 	begin := p.now
-	if free := p.free[c.Member.ID]; free.After(begin) {
+	if free := p.idleAt[c.Member.ID]; free.After(begin) {
 		begin = free
 	}
 	p.waits = append(p.waits, begin.Sub(p.now))
-	read := begin.Add(time.Duration(tokens) * time.Second / playRate)
-	p.free[c.Member.ID] = read
-	p.underway = append(p.underway, unreadPrompt{read, d, c})
+	read := begin.Add(time.Duration(tokens) * time.Second / simPrefillRate)
+	p.idleAt[c.Member.ID] = read
+	p.inFlight = append(p.inFlight, inFlightPrompt{read, d, c})
 }
--- a/internal/coordination/routing/sizes_test.go
+++ b/internal/coordination/routing/prompt_sizes_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// playSizes sends three times the runs that an engine's memory holds, of one kind and many
+// simulatePromptSizes sends three times the runs that an engine's memory holds, of one kind and many
 // sizes, and refuses those whose wait is over the limit. It returns the served share of the
 // largest tenth, and of all.
-func playSizes(usual int) (largest, all float64) {
+func simulatePromptSizes(usual int) (largest, all float64) {
 	const (
 		memory, mean = 100_000, 12_000
 		runTime      = time.Second
@@ -25,7 +25,7 @@
 		end    time.Duration
 	}
 	var running []run
-	var came, served [2]float64
+	var arrived, served [2]float64
 	// A size above this one is in the largest tenth: the sizes are lognormal.
 	const sigma, tenth = 0.6, 1.2816
 	for now := time.Duration(0); now < length; now += every {
@@ -40,7 +40,7 @@
 		if deviation > tenth {
 			class = 1
 		}
-		came[class]++
+		arrived[class]++
 		r := &Request{PromptTokens: tokens, HeldTokens: tokens, MeanHeldTokens: usual, Now: epoch.Add(now)}
 		if evaluate(e, r, 0).wait > limit {
 			continue
@@ -49,7 +49,7 @@
 		e.HeldTokens += tokens
 		running = append(running, run{tokens, now + runTime})
 	}
-	return served[1] / came[1], (served[0] + served[1]) / (came[0] + came[1])
+	return served[1] / arrived[1], (served[0] + served[1]) / (arrived[0] + arrived[1])
 }
 
 // TestLargePromptsAreNotStarved overloads an engine with one kind of request.
@@ -58,11 +58,11 @@
 // largest never find room; their callers come back in vain. With the kind's usual size in
 // its place all have about the same chance.
 func TestLargePromptsAreNotStarved(t *testing.T) {
-	largest, all := playSizes(0)
+	largest, all := simulatePromptSizes(0)
 	if largest > all/4 {
 		t.Errorf("by their own size %.2f of the largest and %.2f of all are served: the load shows nothing", largest, all)
 	}
-	largest, all = playSizes(12_000)
+	largest, all = simulatePromptSizes(12_000)
 	if largest < 0.9*all {
 		t.Errorf("%.2f of the largest are served, of all %.2f", largest, all)
 	}
--- a/internal/coordination/routing/routing.go
+++ b/internal/coordination/routing/routing.go
@@ -17,16 +17,16 @@
 const (
 	// scanLimit is the number of endpoints up to which a decision looks at all.
 	scanLimit = 16
-	// homes is the number of endpoints that computed placement gives a context.
-	homes = 2
-	// randomProbes is the number of random candidates beside them.
-	randomProbes = 2
-	// holderProbes is the number of holders of the context that are looked at, those of
+	// preferredCount is the number of endpoints that computed placement gives a context.
+	preferredCount = 2
+	// randomCandidates is the number of random candidates beside them.
+	randomCandidates = 2
+	// holderCandidates is the number of holders of the context that are looked at, those of
 	// most of it.
-	holderProbes = 4
-	// nearProbes is the number of random candidates in the deciding process's own
+	holderCandidates = 4
+	// localCandidates is the number of random candidates in the deciding process's own
 	// failure domain, where it is told apart.
-	nearProbes = 4
+	localCandidates = 4
 	// maxCandidates bounds one decision.
 	maxCandidates = scanLimit + 4
 	// defaultPrefillRate is assumed of an endpoint that has reported none, in
@@ -34,25 +34,25 @@
 	defaultPrefillRate = 8000
 	// assumedRunTime is used before a run of an endpoint has ended.
 	assumedRunTime = 100 * time.Millisecond
-	// otherDomain is the added round trip to another failure domain.
-	otherDomain = time.Millisecond
+	// crossDomainDelay is the added round trip to another failure domain.
+	crossDomainDelay = time.Millisecond
 	// slowStart is how long a new endpoint's estimate is raised: the first
 	// requests after a start meet cold caches, and a herd would meet them together.
 	slowStart        = 10 * time.Second
 	slowStartPenalty = 50 * time.Millisecond
-	// evictionPrice is what bringing a token of context into an engine's memory
+	// evictionCost is what bringing a token of context into an engine's memory
 	// costs later, in its own computation: memory is full, so it pushes out what
 	// returns elsewhere and pushes out more. The value is measured, see
 	// docs/BENCHMARKS.md.
-	evictionPrice = 16.0
-	// latePrice is what a second beyond the service's objective costs at least. A
+	evictionCost = 16.0
+	// latenessWeight is what a second beyond the service's objective costs at least. A
 	// whole second's weight would be what the caller feels, but near saturation all
 	// endpoints are late, and fleeing from one to the next costs more computation
 	// than it saves waiting; the value is measured, see docs/BENCHMARKS.md.
-	latePrice = 0.25
-	// longGap is the time between returns from which a context pays the whole
+	latenessWeight = 0.25
+	// fullCostAge is the time between returns from which a context pays the whole
 	// price; one that returns sooner shares it among its uses.
-	longGap = time.Minute
+	fullCostAge = time.Minute
 )
 
 // Endpoint is what a decision knows of one endpoint.
@@ -95,7 +95,7 @@
 	CountsOnly bool
 	// ModelRate is how fast the model's engines read, and RatesSeen how often this one was
 	// seen, where reports hold no rate.
-	ModelRate   *rates
+	ModelRate   *modelRate
 	RateSamples int
 	// PeerFactor is how much of the endpoint's work this entry's own stands for: all of
 	// it divided by its own.
@@ -165,8 +165,8 @@
 	return xxhash.Sum64String(text)
 }
 
-// filter tells whether an endpoint may serve a request at all.
-func filter(e *Endpoint, r *Request) bool {
+// isEligible tells whether an endpoint may serve a request at all.
+func isEligible(e *Endpoint, r *Request) bool {
 	if r.WeightVersion != "" && e.Endpoint.WeightVersion != r.WeightVersion {
 		return false
 	}
@@ -178,7 +178,7 @@
 	return true
 }
 
-func full(e *Endpoint) bool {
+func isFull(e *Endpoint) bool {
 	return e.MaxConcurrent > 0 && e.Running >= e.MaxConcurrent
 }
 
@@ -187,16 +187,16 @@
 // Entries that decide on the same report draw different random candidates, so
 // they do not all meet at the endpoint that looked idle.
 func Decide(endpoints []Endpoint, r *Request, random Random) Decision {
-	var set candidates
+	var set candidateSet
 	if len(endpoints) <= scanLimit {
 		for i := range endpoints {
 			set.add(&endpoints[i], ReasonAll, r)
 		}
 	} else {
-		set.choose(endpoints, r, random)
+		set.sample(endpoints, r, random)
 		if set.n == 0 {
 			// Everything chosen is filtered out: look at all rather than refuse.
-			set.scan(endpoints, r)
+			set.addAll(endpoints, r)
 		}
 	}
 	return set.pick(r, random)
@@ -207,18 +207,18 @@
 	reason   Reason
 }
 
-type candidates struct {
-	list [maxCandidates]candidate
-	n    int
-	full int
+type candidateSet struct {
+	list      [maxCandidates]candidate
+	n         int
+	fullCount int
 }
 
-func (c *candidates) add(e *Endpoint, why Reason, r *Request) {
-	if c.n == len(c.list) || !filter(e, r) {
+func (c *candidateSet) add(e *Endpoint, reason Reason, r *Request) {
+	if c.n == len(c.list) || !isEligible(e, r) {
 		return
 	}
-	if full(e) {
-		c.full++
+	if isFull(e) {
+		c.fullCount++
 		return
 	}
 	for i := range c.n {
@@ -226,31 +226,31 @@
 			return
 		}
 	}
-	c.list[c.n] = candidate{e, why}
+	c.list[c.n] = candidate{e, reason}
 	c.n++
 }
 
-func (c *candidates) scan(endpoints []Endpoint, r *Request) {
+func (c *candidateSet) addAll(endpoints []Endpoint, r *Request) {
 	for i := range endpoints {
 		c.add(&endpoints[i], ReasonAll, r)
 	}
 }
 
-// choose needs endpoints ordered by Hash.
-func (c *candidates) choose(endpoints []Endpoint, r *Request, random Random) {
+// sample needs endpoints ordered by Hash.
+func (c *candidateSet) sample(endpoints []Endpoint, r *Request, random Random) {
 	c.addHolders(endpoints, r, random)
-	homely := endpoints
+	ring := endpoints
 	if len(r.Local) > 0 {
-		homely = r.Local
-		c.addRandom(r.Local, nearProbes, r, random)
+		ring = r.Local
+		c.addRandom(r.Local, localCandidates, r, random)
 	}
-	for _, home := range homesOf(homely, r.PlacementHash) {
-		c.add(home, ReasonPreferred, r)
+	for _, preferred := range preferredEndpoints(ring, r.PlacementHash) {
+		c.add(preferred, ReasonPreferred, r)
 	}
 	if len(r.Local) == 0 {
-		c.addRandom(endpoints, randomProbes, r, random)
-	} else if !c.anyUsable(r) {
-		c.addUsable(endpoints, nearProbes, r, random)
+		c.addRandom(endpoints, randomCandidates, r, random)
+	} else if !c.hasHealthy(r) {
+		c.addHealthy(endpoints, localCandidates, r, random)
 	}
 }
 
@@ -259,15 +259,15 @@
 // that the one with the whole context was left out as often as not, and so were homes and random
 // ones. All processes then chose the least busy of the same endpoints: the busiest had 2.7 of
 // the mean's work.
-func (c *candidates) addHolders(endpoints []Endpoint, r *Request, random Random) {
+func (c *candidateSet) addHolders(endpoints []Endpoint, r *Request, random Random) {
 	n := len(r.Holdings)
 	if n == 0 {
 		return
 	}
 	// A random start decides between those that hold as much.
 	start := int(random.Uint64() % uint64(n))
-	var added [holderProbes]int
-	for k := range min(n, holderProbes) {
+	var added [holderCandidates]int
+	for k := range min(n, holderCandidates) {
 		best := -1
 		for i := range n {
 			at := (start + i) % n
@@ -276,18 +276,18 @@
 			}
 		}
 		added[k] = best
-		if e := find(endpoints, r.Holdings[best].Endpoint); e != nil {
+		if e := findByHash(endpoints, r.Holdings[best].Endpoint); e != nil {
 			c.add(e, ReasonHoldsContext, r)
 		}
 	}
 }
 
-// addUsable adds n endpoints that are not avoided, from a random one on.
-func (c *candidates) addUsable(endpoints []Endpoint, n int, r *Request, random Random) {
+// addHealthy adds n endpoints that are not avoided, from a random one on.
+func (c *candidateSet) addHealthy(endpoints []Endpoint, n int, r *Request, random Random) {
 	start := int(random.Uint64() % uint64(len(endpoints)))
 	for i := range endpoints {
 		e := &endpoints[(start+i)%len(endpoints)]
-		if e.avoided(r.Now) {
+		if e.isDegraded(r.Now) {
 			continue
 		}
 		c.add(e, ReasonRandom, r)
@@ -297,38 +297,38 @@
 	}
 }
 
-// anyUsable tells whether a candidate is neither ejected nor suspect.
-func (c *candidates) anyUsable(r *Request) bool {
+// hasHealthy tells whether a candidate is neither ejected nor suspect.
+func (c *candidateSet) hasHealthy(r *Request) bool {
 	for i := range c.n {
-		if !c.list[i].endpoint.avoided(r.Now) {
+		if !c.list[i].endpoint.isDegraded(r.Now) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *candidates) addRandom(endpoints []Endpoint, n int, r *Request, random Random) {
+func (c *candidateSet) addRandom(endpoints []Endpoint, n int, r *Request, random Random) {
 	for range n {
 		c.add(&endpoints[random.Uint64()%uint64(len(endpoints))], ReasonRandom, r)
 	}
 }
 
-// probes is the number of places on the ring that a context is hashed to.
-const probes = 21
+// ringProbes is the number of places on the ring that a context is hashed to.
+const ringProbes = 21
 
-// homesOf gives a context its homes: of several places that its root hashes to
+// preferredEndpoints gives a context its homes: of several places that its root hashes to
 // on the ring of endpoints, those closest before an endpoint. A single place
 // would follow the uneven gaps of the ring (with nine endpoints one may own a
 // third of it); the closest of 21 evens them out without a table of virtual
 // points. A lost endpoint moves only its own contexts.
-func homesOf(endpoints []Endpoint, root uint64) [homes]*Endpoint {
-	var found [homes]*Endpoint
-	var distance [homes]uint64
-	place := root
-	for range probes {
-		place = mix(place)
-		e := &endpoints[search(endpoints, place)%len(endpoints)]
-		gap := e.Hash - place
+func preferredEndpoints(endpoints []Endpoint, placementHash uint64) [preferredCount]*Endpoint {
+	var found [preferredCount]*Endpoint
+	var distance [preferredCount]uint64
+	position := placementHash
+	for range ringProbes {
+		position = splitMix64(position)
+		e := &endpoints[searchHash(endpoints, position)%len(endpoints)]
+		gap := e.Hash - position
 		switch {
 		case found[0] == nil || (gap < distance[0] && e != found[0]):
 			found[1], distance[1] = found[0], distance[0]
@@ -345,15 +345,15 @@
 	return found
 }
 
-// mix is the finalizer of SplitMix64 after one step of its sequence.
-func mix(x uint64) uint64 {
+// splitMix64 is the finalizer of SplitMix64 after one step of its sequence.
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-func search(endpoints []Endpoint, hash uint64) int {
+func searchHash(endpoints []Endpoint, hash uint64) int {
 	low, high := 0, len(endpoints)
 	for low < high {
 		middle := (low + high) / 2
@@ -366,16 +366,16 @@
 	return low
 }
 
-func find(endpoints []Endpoint, hash uint64) *Endpoint {
-	if i := search(endpoints, hash); i < len(endpoints) && endpoints[i].Hash == hash {
+func findByHash(endpoints []Endpoint, hash uint64) *Endpoint {
+	if i := searchHash(endpoints, hash); i < len(endpoints) && endpoints[i].Hash == hash {
 		return &endpoints[i]
 	}
 	return nil
 }
 
-func (c *candidates) pick(r *Request, random Random) Decision {
+func (c *candidateSet) pick(r *Request, random Random) Decision {
 	best := Decision{Refusal: RefusalNoneUsable}
-	if c.full > 0 {
+	if c.fullCount > 0 {
 		best.Refusal = RefusalAllFull
 	}
 	bestScore := 0.0
@@ -384,12 +384,12 @@
 	if c.n > 0 {
 		start = int(random.Uint64() % uint64(c.n))
 	}
-	price := c.price(r)
+	price := c.meanQueueDepth(r)
 	for i := range c.n {
 		cand := c.list[(start+i)%c.n]
 		e := evaluate(cand.endpoint, r, price)
 		if best.Endpoint == nil || e.score < bestScore {
-			best = Decision{Endpoint: cand.endpoint, Reason: cand.reason, TTFT: e.ttft, Wait: e.wait, CapacityWait: e.room, CachedTokens: e.cached, WorkTokens: e.recomputed}
+			best = Decision{Endpoint: cand.endpoint, Reason: cand.reason, TTFT: e.ttft, Wait: e.wait, CapacityWait: e.capacityWait, CachedTokens: e.cached, WorkTokens: e.recomputed}
 			bestScore = e.score
 		}
 	}
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -14,7 +14,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func endpoints(n int) []Endpoint {
+func newEndpoints(n int) []Endpoint {
 	out := make([]Endpoint, n)
 	for i := range out {
 		id := fmt.Sprint("e", i)
@@ -27,14 +27,14 @@
 	return out
 }
 
-func request() *Request {
+func newRequest() *Request {
 	return &Request{
 		PromptTokens: 8300, ContextTokens: 8000, KnownTokens: 8000, KnownAge: time.Hour, Domain: "d", Now: epoch.Add(time.Hour),
 		Objective: config.Objective{WeightTTFT: 1},
 	}
 }
 
-func random() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
+func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
 func TestDecide(t *testing.T) {
 	rows := []struct {
@@ -101,9 +101,9 @@
 		}, 0, ""},
 	}
 	for _, row := range rows {
-		e, r := endpoints(4), request()
+		e, r := newEndpoints(4), newRequest()
 		row.change(e, r)
-		v := Decide(e, r, random())
+		v := Decide(e, r, newRandom())
 		switch {
 		case row.want < 0 && (v.Endpoint != nil || v.Refusal != row.refusal):
 			t.Errorf("%s: %+v", row.name, v)
@@ -113,12 +113,12 @@
 	}
 }
 
-// TestWeightsDecide gives the same state to both users' weights.
+// TestObjectiveWeightsDecide gives the same state to both users' weights.
 //
 // The context is held by an endpoint with a queue of a few seconds; a fast link
 // could bring it to an idle one. Who waits at the dock goes to the idle one;
 // who minds recomputation and links waits for the holder.
-func TestWeightsDecide(t *testing.T) {
+func TestObjectiveWeightsDecide(t *testing.T) {
 	rows := []struct {
 		objective config.Objective
 		want      int
@@ -127,30 +127,30 @@
 		{config.Objective{WeightTTFT: 0.02, WeightRecompute: 1, WeightLink: 0.4, TTFTMS: 20_000}, 0},
 	}
 	for _, row := range rows {
-		e, r := endpoints(2), request()
+		e, r := newEndpoints(2), newRequest()
 		r.Objective = row.objective
 		r.KnownAge = time.Second
 		r.Holdings = []Holding{{Endpoint: e[0].Hash, Tokens: 8000, Chance: 1}}
 		e[0].Load.QueuedTokens = 60_000
-		if v := Decide(e, r, random()); v.Endpoint.ID != e[row.want].ID {
+		if v := Decide(e, r, newRandom()); v.Endpoint.ID != e[row.want].ID {
 			t.Errorf("%+v chose %s", row.objective, v.Endpoint.ID)
 		}
 	}
 }
 
-// TestHomesAreEven places many contexts on few and many endpoints.
-func TestHomesAreEven(t *testing.T) {
+// TestPreferredEndpointsAreEven places many contexts on few and many endpoints.
+func TestPreferredEndpointsAreEven(t *testing.T) {
 	for _, n := range []int{9, 94, 940} {
-		e := endpoints(n)
+		e := newEndpoints(n)
 		counts := map[string]int{}
 		const each = 200
-		r := random()
+		r := newRandom()
 		for range n * each {
-			homes := homesOf(e, r.Uint64())
-			if homes[0] == homes[1] {
+			preferred := preferredEndpoints(e, r.Uint64())
+			if preferred[0] == preferred[1] {
 				t.Fatal("both homes are one endpoint")
 			}
-			counts[homes[0].ID]++
+			counts[preferred[0].ID]++
 		}
 		most := 0
 		for _, c := range counts {
@@ -163,15 +163,15 @@
 	}
 }
 
-// TestSharedPrefixHasNoSingleHome lets many contexts begin with the same piece.
-func TestSharedPrefixHasNoSingleHome(t *testing.T) {
+// TestSharedPrefixHasNoSinglePreferredEndpoint lets many contexts begin with the same piece.
+func TestSharedPrefixHasNoSinglePreferredEndpoint(t *testing.T) {
 	x := NewIndex(1000)
 	roots := map[contextkey.Key]int{}
 	for i := range 200 {
 		keys := []contextkey.Key{{1}, {2, byte(i)}, {3, byte(i)}}
 		roots[x.PlacementKey(keys)]++
 	}
-	if roots[contextkey.Key{1}] > 2*sharedFrom {
+	if roots[contextkey.Key{1}] > 2*minSharedBranches {
 		t.Errorf("%d contexts have the shared piece as root", roots[contextkey.Key{1}])
 	}
 	own := []contextkey.Key{{9}, {8}, {7}}
@@ -205,8 +205,8 @@
 	}
 }
 
-// directoryOf is a directory before n engines.
-func directoryOf(t testing.TB, n int) (*Directory, *fleet.Table) {
+// newDirectory is a directory before n engines.
+func newDirectory(t testing.TB, n int) (*Directory, *fleet.Table) {
 	table := fleet.NewTable(fleet.DefaultConfig(), fleet.Member{ID: "entry", Domain: "d"}, epoch)
 	for i := range n {
 		id := fmt.Sprint("e", i)
@@ -224,14 +224,14 @@
 	return NewDirectory(table, store, 1000, 1), table
 }
 
-// TestOldReportsDoNotWin mixes loads that came with answers and older ones that
+// TestOlderReportsAreIgnored mixes loads that came with answers and older ones that
 // were underway in the fleet.
 //
 // The decision goes by the newest stamp of the agent's own clock, whatever the
 // order of arrival, and keeps counting what was sent after it was taken. The
 // agent's clock is an hour ahead.
-func TestOldReportsDoNotWin(t *testing.T) {
-	d, table := directoryOf(t, 1)
+func TestOlderReportsAreIgnored(t *testing.T) {
+	d, table := newDirectory(t, 1)
 	now := epoch.Add(time.Minute)
 	stamp := func(at time.Time) int64 { return at.Add(time.Hour).UnixMilli() }
 	d.UsableMembers("s", now)
@@ -240,7 +240,7 @@
 	d.Choose("s", nil, &Request{PromptTokens: 500, Now: now.Add(time.Second)})
 	table.SetReport(fleet.Report{Incarnation: 1, Version: 9, Load: fleet.Load{QueuedTokens: 9000, AtMS: stamp(now.Add(-time.Second))}, At: now.Add(2 * time.Second)})
 	d.ApplyReports()
-	e := d.dynamic["e0"]
+	e := d.tracked["e0"]
 	if e.Load.QueuedTokens != 100 || e.SentTokens != 500 {
 		t.Errorf("an older report won: %+v", e.RuntimeState)
 	}
@@ -256,14 +256,14 @@
 }
 
 func TestEjection(t *testing.T) {
-	d, _ := directoryOf(t, 1)
+	d, _ := newDirectory(t, 1)
 	now := epoch
 	choose := func() Choice { return d.Choose("s", nil, &Request{PromptTokens: 1, Now: now}) }
 	for range failuresToEject {
 		d.Done(choose(), true, now)
 	}
-	e := d.dynamic["e0"]
-	if !e.EjectedUntil.After(now) || e.EjectedUntil.After(now.Add(firstEjection)) {
+	e := d.tracked["e0"]
+	if !e.EjectedUntil.After(now) || e.EjectedUntil.After(now.Add(minEjection)) {
 		t.Errorf("ejected until %s", e.EjectedUntil.Sub(now))
 	}
 	d.Done(choose(), false, now)
@@ -277,7 +277,7 @@
 	f.Add(uint8(3), uint64(1), "v1", int32(100), int32(50), uint8(7))
 	f.Add(uint8(200), uint64(9), "", int32(-1), int32(1<<30), uint8(0))
 	f.Fuzz(func(t *testing.T, n uint8, seed uint64, version string, prompt, queued int32, full uint8) {
-		all := endpoints(int(n))
+		all := newEndpoints(int(n))
 		r := rand.New(rand.NewPCG(seed, seed))
 		for i := range all {
 			all[i].Load.QueuedTokens = int(queued) * i
@@ -302,8 +302,8 @@
 	})
 }
 
-func TestDecisionAllocatesNothing(t *testing.T) {
-	e, r, x := endpoints(940), request(), random()
+func TestDecideAllocatesNothing(t *testing.T) {
+	e, r, x := newEndpoints(940), newRequest(), newRandom()
 	r.Holdings = []Holding{{Endpoint: e[5].Hash, Tokens: 8000, Chance: 0.5}}
 	if n := testing.AllocsPerRun(100, func() { r.PlacementHash++; Decide(e, r, x) }); n != 0 {
 		t.Errorf("%g allocations", n)
@@ -313,7 +313,7 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{12, 940} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			e, r, x := endpoints(n), request(), random()
+			e, r, x := newEndpoints(n), newRequest(), newRandom()
 			b.ReportAllocs()
 			for b.Loop() {
 				r.PlacementHash++
@@ -323,11 +323,11 @@
 	}
 }
 
-// TestImportsBehindResidentParts lets stores hold some of a context's parts.
+// TestImportableSegments lets stores hold some of a context's parts.
 //
 // What stands behind a part that neither the engine nor a store holds is read, and a part
 // that the engine keeps needs no store.
-func TestImportsBehindResidentParts(t *testing.T) {
+func TestImportableSegments(t *testing.T) {
 	rows := []struct {
 		stored [3]bool
 		cached int
@@ -345,13 +345,13 @@
 		for i, tokens := range []int{1000, 2000, 3000} {
 			r.Segments = append(r.Segments, Segment{Tokens: tokens, Stored: row.stored[i], Domain: "d", TransferTime: time.Duration(tokens) * time.Millisecond})
 		}
-		got := r.importable(row.cached)
+		got := r.importableTokens(row.cached)
 		if got != row.want {
 			t.Errorf("%v, %d cached: %d tokens can be imported, want %d", row.stored, row.cached, got, row.want)
 		}
-		here, far := &Endpoint{Member: fleet.Member{Domain: "d"}}, &Endpoint{Member: fleet.Member{Domain: "e"}}
-		took := r.transferTime(here, row.cached, got)
-		if took != time.Duration(got)*time.Millisecond || r.transferTime(far, row.cached, got) != 2*took {
+		local, remote := &Endpoint{Member: fleet.Member{Domain: "d"}}, &Endpoint{Member: fleet.Member{Domain: "e"}}
+		took := r.transferTime(local, row.cached, got)
+		if took != time.Duration(got)*time.Millisecond || r.transferTime(remote, row.cached, got) != 2*took {
 			t.Errorf("%v, %d cached: the transfer takes %s", row.stored, row.cached, took)
 		}
 	}
