--- a/internal/state/routes/routes.go
+++ b/internal/state/routes/routes.go
@@ -136,25 +136,25 @@
 	// KeysRequired tells that requests carry keys.
 	KeysRequired bool
 
-	byHost map[string][]*Route
-	owners map[string]*Customer
-	// priorities are the least and the greatest of each service's routes.
-	priorities map[string][2]int
+	routesByHost   map[string][]*Route
+	customersByKey map[string]*Customer
+	// priorityRanges are the least and the greatest of each service's routes.
+	priorityRanges map[string][2]int
 }
 
 // New builds a table.
 func New(version, revision uint64, list []Route, services []Service, customers []Customer, limits Limits) *Table {
 	t := &Table{
 		Version: version, Revision: revision, Limits: limits, KeysRequired: len(customers) > 0,
-		Services: map[string]*Service{}, byHost: map[string][]*Route{}, owners: map[string]*Customer{}, priorities: map[string][2]int{},
+		Services: map[string]*Service{}, routesByHost: map[string][]*Route{}, customersByKey: map[string]*Customer{}, priorityRanges: map[string][2]int{},
 	}
 	for i := range list {
 		r := &list[i]
 		host := strings.ToLower(r.Host)
-		t.byHost[host] = append(t.byHost[host], r)
-		t.notePriority(r)
+		t.routesByHost[host] = append(t.routesByHost[host], r)
+		t.recordPriority(r)
 	}
-	for _, byLength := range t.byHost {
+	for _, byLength := range t.routesByHost {
 		sort.SliceStable(byLength, func(a, b int) bool { return len(byLength[a].Prefix) > len(byLength[b].Prefix) })
 	}
 	for i := range services {
@@ -162,26 +162,26 @@
 	}
 	for i := range customers {
 		for _, key := range customers[i].Keys {
-			t.owners[key] = &customers[i]
+			t.customersByKey[key] = &customers[i]
 		}
 	}
 	return t
 }
 
-func (t *Table) notePriority(r *Route) {
+func (t *Table) recordPriority(r *Route) {
 	for _, target := range r.Targets {
-		known, ok := t.priorities[target.Service]
+		known, ok := t.priorityRanges[target.Service]
 		if !ok {
 			known = [2]int{r.Priority, r.Priority}
 		}
-		t.priorities[target.Service] = [2]int{min(known[0], r.Priority), max(known[1], r.Priority)}
+		t.priorityRanges[target.Service] = [2]int{min(known[0], r.Priority), max(known[1], r.Priority)}
 	}
 }
 
 // PriorityRank is a priority's place among those of a service's routes: 0 for the most urgent and
 // all beyond, 1 for the least and all beyond. A customer's own priority may lie outside.
 func (t *Table) PriorityRank(priority int, service string) float64 {
-	known := t.priorities[service]
+	known := t.priorityRanges[service]
 	switch {
 	case priority <= known[0]:
 		return 0
@@ -196,7 +196,7 @@
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	for _, r := range t.byHost[strings.ToLower(host)] {
+	for _, r := range t.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -206,6 +206,6 @@
 
 // CustomerOf finds the customer that holds a key.
 func (t *Table) CustomerOf(key string) (*Customer, bool) {
-	c, ok := t.owners[key]
+	c, ok := t.customersByKey[key]
 	return c, ok
 }
--- a/internal/state/routes/routes_test.go
+++ b/internal/state/routes/routes_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-func table(list ...Route) *Table { return New(1, 1, list, nil, nil, Limits{}) }
+func newTable(list ...Route) *Table { return New(1, 1, list, nil, nil, Limits{}) }
 
 func TestLongestPrefixWins(t *testing.T) {
-	x := table(
+	x := newTable(
 		Route{Name: "root", Host: "h", Prefix: "/"}, Route{Name: "long", Host: "h", Prefix: "/a/b/"},
 		Route{Name: "short", Host: "h", Prefix: "/a/"}, Route{Name: "other", Host: "g", Prefix: "/a/b/c/"},
 	)
@@ -34,10 +34,10 @@
 }
 
 func TestRank(t *testing.T) {
-	of := func(name string, priority int) Route {
+	route := func(name string, priority int) Route {
 		return Route{Name: name, Host: "h", Prefix: "/" + name + "/", Priority: priority, Targets: []Target{{"s", 1}}}
 	}
-	x := table(of("urgent", 0), of("middle", 1), of("patient", 2), Route{Host: "h", Prefix: "/x/", Priority: 7, Targets: []Target{{"alone", 1}}})
+	x := newTable(route("urgent", 0), route("middle", 1), route("patient", 2), Route{Host: "h", Prefix: "/x/", Priority: 7, Targets: []Target{{"alone", 1}}})
 	for name, want := range map[string]float64{"urgent": 0, "middle": 0.5, "patient": 1} {
 		if r, _ := x.Match("h", "/"+name+"/"); x.PriorityRank(r.Priority, "s") != want {
 			t.Errorf("%s has rank %g", name, x.PriorityRank(r.Priority, "s"))
