--- a/internal/coordination/gateway/config_test.go
+++ b/internal/coordination/gateway/config_test.go
@@ -17,12 +17,12 @@
 	"limpetwall/internal/state/routes"
 )
 
-// TestOutdatedConfigurationRefusesNobodyForGood asks with a key that an entry, cut
+// TestStaleConfigRefusalsAreRetryable asks with a key that an entry, cut
 // off from the store, has not heard of yet.
 //
 // "Unknown key" would make the caller give up a key that is good: it is told to
 // come back instead.
-func TestOutdatedConfigurationRefusesNobodyForGood(t *testing.T) {
+func TestStaleConfigRefusalsAreRetryable(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
 	s.gateway.Watcher.Heard(time.Now().Add(-configStaleAfter - time.Second))
 	for _, path := range []string{"/r/x", "/new/x"} {
@@ -33,12 +33,12 @@
 	}
 }
 
-// TestKeysOfAnOutdatedConfiguration asks a gateway that the store does not answer any more.
+// TestKeysOfStaleConfig asks a gateway that the store does not answer any more.
 //
 // Operators who take a key away want it refused everywhere in time. A gateway that can't
 // learn of it serves nobody by keys then and takes no new callers, but goes on with public
 // routes; callers are told to come back.
-func TestKeysOfAnOutdatedConfiguration(t *testing.T) {
+func TestKeysOfStaleConfig(t *testing.T) {
 	for _, row := range []struct {
 		name     string
 		validFor time.Duration
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestNoConfigurationYet(t *testing.T) {
+func TestNoConfigYet(t *testing.T) {
 	s := newTestServer(t, nil)
 	s.gateway.State = discovery.NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 	resp, _, err := s.do(s.newRequest("GET", "/r/x", ""))
@@ -81,16 +81,16 @@
 	}
 }
 
-// TestRequestLinesAreBounded sends more requests than the log may tell of.
+// TestRequestLogIsRateLimited sends more requests than the log may tell of.
 //
 // All are answered; what the log leaves out is counted.
-func TestRequestLinesAreBounded(t *testing.T) {
+func TestRequestLogIsRateLimited(t *testing.T) {
 	// The endpoint closes each connection: the next request must not go out on it.
 	s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
 	core, lines := observer.New(zapcore.InfoLevel)
 	s.gateway.Log = zap.New(core)
-	const told, sent = 3, 8
-	s.gateway.RequestLogLimiter = rate.NewLimiter(0, told)
+	const logged, sent = 3, 8
+	s.gateway.RequestLogLimiter = rate.NewLimiter(0, logged)
 	for range sent {
 		if resp, _, err := s.do(s.newRequest("GET", "/r/x", "")); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v %v", resp, err)
@@ -99,17 +99,17 @@
 	// A request's line is written after its answer: the server's end waits for both.
 	s.server.Close()
 	dropped := metrics.GetOrRegisterCounter("gateway.request_lines_dropped", s.gateway.Metrics).Count()
-	if got := lines.FilterMessage("request").Len(); got != told || dropped != sent-told {
+	if got := lines.FilterMessage("request").Len(); got != logged || dropped != sent-logged {
 		t.Errorf("%d lines, %d dropped", got, dropped)
 	}
 }
 
-// TestCustomersPriorityDecidesRefusals asks whether a prompt should wait for half of its
+// TestCustomerPriorityDecidesOverload asks whether a prompt should wait for half of its
 // objective, for customers with a priority of their own on an urgent route.
 //
 // What operators say of a customer goes before what they say of the route, in refusals as
 // at the engines.
-func TestCustomersPriorityDecidesRefusals(t *testing.T) {
+func TestCustomerPriorityDecidesOverload(t *testing.T) {
 	list := []routes.Route{
 		{Name: "urgent", Host: "h", Prefix: "/u/", Priority: 0, Objective: time.Second, Targets: []routes.Target{{Service: "s", Weight: 1}}},
 		{Name: "patient", Host: "h", Prefix: "/p/", Priority: 2, Objective: time.Second, Targets: []routes.Target{{Service: "s", Weight: 1}}},
--- a/internal/coordination/gateway/ending_test.go
+++ b/internal/coordination/gateway/ending_test.go
@@ -19,7 +19,7 @@
 	"limpetwall/internal/state/routes"
 )
 
-// TestLastEndpointsFailureReachesItsCaller asks where only one endpoint is left.
+// TestLastEndpointsFailureReachesCaller asks where only one endpoint is left.
 //
 // Callers saw their connection closed without an answer. The last endpoint ran the request, failed and
 // said so; it might be repeated, but nobody else was left to ask. The failure was written to the caller by
@@ -27,7 +27,7 @@
 // endpoint and failed, and that error cut the connection before the answer had left its buffer.
 // Evidence: in the log of each such request the 500 was followed by an attempt at an empty endpoint
 // ("dial tcp: missing address"), and with one endpoint that fails it happened always.
-func TestLastEndpointsFailureReachesItsCaller(t *testing.T) {
+func TestLastEndpointsFailureReachesCaller(t *testing.T) {
 	rows := []struct {
 		name      string
 		kind      routes.Kind
@@ -61,17 +61,17 @@
 	}
 }
 
-// TestCallerThatStopsSendingGetsNoEmptyAnswer lets a caller close its sending side and read on.
+// TestHalfClosedCallerGetsNoEmptyAnswer lets a caller close its sending side and read on.
 //
 // Its end of input counts as leaving: the endpoint is told to stop. A handler that returns then without
 // having written makes net/http answer an empty 200, and one that returns in the middle of a stream
 // makes it write the stream's end: the caller would take either for an endpoint's whole answer. The
 // connection must break instead.
-func TestCallerThatStopsSendingGetsNoEmptyAnswer(t *testing.T) {
-	untilLeft := func(c net.Conn, r *http.Request) { io.Copy(io.Discard, c) }
+func TestHalfClosedCallerGetsNoEmptyAnswer(t *testing.T) {
+	blockUntilClosed := func(c net.Conn, r *http.Request) { io.Copy(io.Discard, c) }
 	begins := func(c net.Conn, r *http.Request) {
 		respondStream("", "1")(c, r)
-		untilLeft(c, r)
+		blockUntilClosed(c, r)
 	}
 	rows := []struct {
 		name     string
@@ -80,18 +80,18 @@
 		// before is what the caller has read when it stops sending.
 		before string
 	}{
-		{"idempotent", routes.Idempotent, untilLeft, ""},
-		{"non-idempotent", routes.NonIdempotent, untilLeft, ""},
-		{"a stream before its first event", routes.Streaming, untilLeft, ""},
+		{"idempotent", routes.Idempotent, blockUntilClosed, ""},
+		{"non-idempotent", routes.NonIdempotent, blockUntilClosed, ""},
+		{"a stream before its first event", routes.Streaming, blockUntilClosed, ""},
 		{"a stream", routes.Streaming, begins, "data: 1\n"},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			arrived, told := make(chan struct{}), make(chan struct{})
+			arrived, closed := make(chan struct{}), make(chan struct{})
 			s := newTestServer(t, singleRoute(row.kind, 2), func(c net.Conn, r *http.Request) {
 				close(arrived)
 				row.endpoint(c, r)
-				close(told)
+				close(closed)
 			})
 			c, err := net.Dial("tcp", s.server.Listener.Addr().String())
 			if err != nil {
@@ -118,16 +118,16 @@
 			if strings.HasSuffix(string(rest), lastChunk) {
 				t.Errorf("the stream ends as if it were whole: %q", rest)
 			}
-			<-told
+			<-closed
 		})
 	}
 }
 
-// TestKeptFailureGoesOutWhenTheTimeIsUp lets the first endpoint fail and the second fall silent.
+// TestBufferedFailureIsSentAtDeadline lets the first endpoint fail and the second fall silent.
 //
 // The first one's whole failure is kept while the second is asked. When the request's time ends
 // the caller must get it: it tells what went wrong, and 504 with an unknown outcome does not.
-func TestKeptFailureGoesOutWhenTheTimeIsUp(t *testing.T) {
+func TestBufferedFailureIsSentAtDeadline(t *testing.T) {
 	silent := func(c net.Conn, r *http.Request) { io.Copy(io.Discard, c) }
 	play := firstThen(respond(500, "sorry"), silent)
 	s := newTestServer(t, singleRoute(routes.Idempotent, 2), play, play)
@@ -137,12 +137,12 @@
 	}
 }
 
-// TestLongAnswersKeepTheRules lets endpoints give answers too long to be kept whole.
+// TestStatusRulesApplyToLongAnswers lets endpoints give answers too long to be kept whole.
 //
 // A failure on a streaming route was cut at the most that is kept, and told as whole. A status
 // that promises "not run" was passed on for a request that had run, as only short answers
 // were looked at: the caller would send its order again.
-func TestLongAnswersKeepTheRules(t *testing.T) {
+func TestStatusRulesApplyToLongAnswers(t *testing.T) {
 	long := strings.Repeat("b", maxBufferedBytes+1000)
 	rows := []struct {
 		name   string
@@ -169,19 +169,19 @@
 	}
 }
 
-// TestBegunAnswerIsNotJoinedToAnother breaks answers on a route whose streams may be resumed, before
+// TestPartialAnswerIsNotJoinedToAnother breaks answers on a route whose streams may be resumed, before
 // the caller has an event that a second run could go on behind.
 //
 // Events without ids can't be gone on behind, nor can an answer that is no stream: another endpoint
 // would begin anew, and the caller would read both as one answer. The connection must break.
-func TestBegunAnswerIsNotJoinedToAnother(t *testing.T) {
-	torn := func(c net.Conn, r *http.Request) {
+func TestPartialAnswerIsNotJoinedToAnother(t *testing.T) {
+	truncated := func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 201 X\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", headerID, r.Header.Get(headerID), 2*maxBufferedBytes, strings.Repeat("b", maxBufferedBytes))
 	}
 	rows := map[string]responder{
 		"events without ids":       respondTruncatedStream("data: one\n\n"),
 		"an event without id last": respondTruncatedStream("id: 1\ndata: 1\n\ndata: two\n\n"),
-		"no stream":                torn,
+		"no stream":                truncated,
 	}
 	for name, first := range rows {
 		t.Run(name, func(t *testing.T) {
@@ -204,38 +204,38 @@
 	}
 }
 
-// TestCommentsAreNoEvents breaks a stream of which the caller has a comment only, or an event and
+// TestCommentsDoNotPreventResumption breaks a stream of which the caller has a comment only, or an event and
 // a comment behind it: another endpoint goes on, as comments are part of no answer.
-func TestCommentsAreNoEvents(t *testing.T) {
+func TestCommentsDoNotPreventResumption(t *testing.T) {
 	const one, two, comment = "id: 1\ndata: 1\n\n", "id: 2\ndata: 2\n\n", ": wait\n\n"
-	rows := []struct{ begun, whole string }{
+	rows := []struct{ sent, whole string }{
 		{comment, comment + one + two},
 		{one + comment, one + comment + two},
 	}
 	for _, row := range rows {
 		list := singleRoute(routes.Streaming, 2)
 		list[0].Resumable = true
-		goesOn := func(c net.Conn, r *http.Request) {
+		resume := func(c net.Conn, r *http.Request) {
 			if r.Header.Get(headerLastEvent) == "1" {
 				respondStream(lastChunk, "2")(c, r)
 				return
 			}
 			respondStream(lastChunk, "1", "2")(c, r)
 		}
-		play := firstThen(respondTruncatedStream(row.begun), goesOn)
+		play := firstThen(respondTruncatedStream(row.sent), resume)
 		s := newTestServer(t, list, play, play)
 		_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 		if err != nil || body != row.whole {
-			t.Errorf("after %q the caller got %q, %v; want %q", row.begun, body, err, row.whole)
+			t.Errorf("after %q the caller got %q, %v; want %q", row.sent, body, err, row.whole)
 		}
 	}
 }
 
-// TestKeptFailureIsNotDisplaced lets two endpoints fail a stream before it begins, the second with
+// TestBufferedFailureIsNotReplaced lets two endpoints fail a stream before it begins, the second with
 // a status that promises "not run" and so may not be passed on.
 //
 // The first one's failure is ready and tells what went wrong: it goes out, not 502.
-func TestKeptFailureIsNotDisplaced(t *testing.T) {
+func TestBufferedFailureIsNotReplaced(t *testing.T) {
 	list := singleRoute(routes.Streaming, 2)
 	list[0].Resumable = true
 	play := firstThen(respond(500, "sorry"), respond(503, "busy"))
@@ -286,9 +286,9 @@
 	}
 }
 
-// TestBudgetUsedUpGivesTheEndpointBack fails a request when no retry may be made: the endpoint chosen for
+// TestExhaustedRetryBudgetReleasesEndpoint fails a request when no retry may be made: the endpoint chosen for
 // one must not stay booked as if it were at work.
-func TestBudgetUsedUpGivesTheEndpointBack(t *testing.T) {
+func TestExhaustedRetryBudgetReleasesEndpoint(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 3), respond(500, "sorry"), respond(500, "sorry"))
 	s.gateway.RetryBudget = runs.NewRetryBudget(0, 0)
 	if resp, _, err := s.do(s.newRequest("POST", "/r/x", "order")); err != nil || resp.StatusCode != 500 || s.requestCount() != 1 {
@@ -301,12 +301,12 @@
 	}
 }
 
-// TestBodyThatDoesNotComeInTime sends half a body and waits.
+// TestBodyReadTimeout sends half a body and waits.
 //
 // At the end of the request's time the read of its body ends, and net/http ends the request's context
 // as it does when a caller leaves. This caller is still there: it must be told that nothing
 // ran and that it may come back.
-func TestBodyThatDoesNotComeInTime(t *testing.T) {
+func TestBodyReadTimeout(t *testing.T) {
 	for _, head := range []string{"Content-Length: 4\r\n\r\nab", "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n"} {
 		s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), respond(201, "whole"))
 		c, err := net.Dial("tcp", s.server.Listener.Addr().String())
@@ -326,9 +326,9 @@
 	}
 }
 
-// TestNothingIsKeptForACallerThatLeft decides on an ending when a failure is kept and its caller has just
+// TestDisconnectTakesPrecedenceOverBufferedFailure decides on an ending when a failure is kept and its caller has just
 // left: told as an answer, the request's line and counters would name one that nobody got.
-func TestNothingIsKeptForACallerThatLeft(t *testing.T) {
+func TestDisconnectTakesPrecedenceOverBufferedFailure(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 2))
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
@@ -338,27 +338,27 @@
 	}
 }
 
-// deafWriter is the way to a caller whose connection has broken; net/http has not noticed.
-type deafWriter struct {
+// brokenWriter is the way to a caller whose connection has broken; net/http has not noticed.
+type brokenWriter struct {
 	*httptest.ResponseRecorder
-	// left writes go through.
-	left int
+	// writesLeft writes go through.
+	writesLeft int
 }
 
-func (w *deafWriter) Write(b []byte) (int, error) {
-	if w.left--; w.left < 0 {
+func (w *brokenWriter) Write(b []byte) (int, error) {
+	if w.writesLeft--; w.writesLeft < 0 {
 		return 0, io.ErrClosedPipe
 	}
 	return w.ResponseRecorder.Write(b)
 }
 
-// TestCallersBrokenConnectionIsNoFailureOfTheEndpoint guards against endpoints that are left out as callers leave in the
+// TestWriteErrorToCallerIsNotEndpointFailure guards against endpoints that are left out as callers leave in the
 // middle of long answers.
-func TestCallersBrokenConnectionIsNoFailureOfTheEndpoint(t *testing.T) {
-	for left := range 2 {
+func TestWriteErrorToCallerIsNotEndpointFailure(t *testing.T) {
+	for writes := range 2 {
 		s := newTestServer(t, singleRoute(routes.Idempotent, 2), respond(200, strings.Repeat("b", 2*maxBufferedBytes)))
 		x := &exchange{
-			g: s.gateway, w: &deafWriter{httptest.NewRecorder(), left}, r: httptest.NewRequest("GET", "/r/x", nil),
+			g: s.gateway, w: &brokenWriter{httptest.NewRecorder(), writes}, r: httptest.NewRequest("GET", "/r/x", nil),
 			startedAt: time.Now(), deadline: time.Now().Add(time.Minute),
 		}
 		x.r.Host = "h"
@@ -368,13 +368,13 @@
 			t.Fatal(refusal)
 		}
 		if end := x.serve(); end.kind != endCallerLeft || x.attempts[0].Outcome != callerLeft.String() {
-			t.Errorf("%d writes: ending %d, attempt %s", left, end.kind, x.attempts[0].Outcome)
+			t.Errorf("%d writes: ending %d, attempt %s", writes, end.kind, x.attempts[0].Outcome)
 		}
 	}
 }
 
-// TestWhatCannotGoOnIsPassedOver guards against a resumed stream that ends as its next endpoint fails, while another may go on.
-func TestWhatCannotGoOnIsPassedOver(t *testing.T) {
+// TestResumptionSkipsFailedEndpoint guards against a resumed stream that ends as its next endpoint fails, while another may go on.
+func TestResumptionSkipsFailedEndpoint(t *testing.T) {
 	rows := map[string]responder{
 		"failure":             respond(500, "sorry"),
 		"busy after running":  respond(503, "busy"),
@@ -397,9 +397,9 @@
 	}
 }
 
-// TestAnswerThatIsNoStream guards against "answer lost" in place of a whole answer that is no stream, on a route whose
+// TestJSONAnswerOnStreamingRoute guards against "answer lost" in place of a whole answer that is no stream, on a route whose
 // answers are.
-func TestAnswerThatIsNoStream(t *testing.T) {
+func TestJSONAnswerOnStreamingRoute(t *testing.T) {
 	const body, lines = `{"whole":true}`, "Content-Type: application/json"
 	rows := map[string]responder{
 		"length":    respond(200, body, lines),
@@ -417,26 +417,26 @@
 	}
 }
 
-// TestEndsOfOthersSayNothing guards against an endpoint that hangs and stays in use, as each caller that leaves it counts as a
+// TestCanceledAttemptsDoNotAffectHealth guards against an endpoint that hangs and stays in use, as each caller that leaves it counts as a
 // success, and against one that is left out as this process ended its runs.
-func TestEndsOfOthersSayNothing(t *testing.T) {
+func TestCanceledAttemptsDoNotAffectHealth(t *testing.T) {
 	fails := outcome{kind: broken}
 	ends := []outcome{
 		{kind: callerLeft}, {kind: stopped}, {kind: canceledByQuarantine}, {kind: relocated},
 		{kind: broken, stopOrdered: true}, {kind: timedOut, stopOrdered: true},
 	}
 	for _, end := range ends {
-		if usesAfter(t, fails, fails, end, fails) {
+		if isChosenAfter(t, fails, fails, end, fails) {
 			t.Errorf("%+v: the endpoint is used after three failures", end)
 		}
-		if !usesAfter(t, fails, fails, end) {
+		if !isChosenAfter(t, fails, fails, end) {
 			t.Errorf("%+v: the endpoint is not used after two failures", end)
 		}
 	}
 }
 
-// usesAfter tells whether an endpoint is still chosen beside another after its attempts ended so.
-func usesAfter(t *testing.T, ends ...outcome) bool {
+// isChosenAfter tells whether an endpoint is still chosen beside another after its attempts ended so.
+func isChosenAfter(t *testing.T, ends ...outcome) bool {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 1), closeConn, closeConn)
 	x := &exchange{g: s.gateway, r: s.newRequest("GET", "/r/x", ""), route: &singleRoute(routes.Idempotent, 1)[0], service: &routes.Service{Name: "s"}}
 	request := x.routingRequest()
--- a/internal/coordination/gateway/framing_test.go
+++ b/internal/coordination/gateway/framing_test.go
@@ -20,25 +20,25 @@
 }
 
 // respondThen does something to a connection when its answer has been written.
-func respondThen(play responder, do func(c *net.TCPConn)) responder {
+func respondThen(answer responder, do func(c *net.TCPConn)) responder {
 	return func(c net.Conn, r *http.Request) {
-		play(c, r)
+		answer(c, r)
 		do(c.(*net.TCPConn))
 	}
 }
 
-// keepOn answers request after request on one connection, until it ends.
-func keepOn(play responder) responder {
+// respondRepeatedly answers request after request on one connection, until it ends.
+func respondRepeatedly(answer responder) responder {
 	return func(c net.Conn, r *http.Request) {
 		reader := bufio.NewReader(c)
 		for err := error(nil); err == nil; r, err = http.ReadRequest(reader) {
-			play(c, r)
+			answer(c, r)
 		}
 	}
 }
 
-// TestFramings guards against whole answers that are lost, and broken ones that look whole, by how they are delimited.
-func TestFramings(t *testing.T) {
+// TestAnswerFraming guards against whole answers that are lost, and broken ones that look whole, by how they are delimited.
+func TestAnswerFraming(t *testing.T) {
 	long := strings.Repeat("b", maxBufferedBytes)
 	end := func(c *net.TCPConn) { c.Close() }
 	reset := func(c *net.TCPConn) {
@@ -91,7 +91,7 @@
 	for _, kind := range []routes.Kind{routes.Idempotent, routes.NonIdempotent} {
 		for _, row := range rows {
 			t.Run(kind.String()+" "+row.name, func(t *testing.T) {
-				s := newTestServer(t, singleRoute(kind, 1), keepOn(row.answer))
+				s := newTestServer(t, singleRoute(kind, 1), respondRepeatedly(row.answer))
 				c, err := net.Dial("tcp", s.server.Listener.Addr().String())
 				if err != nil {
 					t.Fatal(err)
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -109,13 +109,13 @@
 // responder is how an endpoint answers a request.
 type responder func(c net.Conn, r *http.Request)
 
-func newTestServer(t *testing.T, list []routes.Route, scripts ...responder) *testServer {
+func newTestServer(t *testing.T, list []routes.Route, answers ...responder) *testServer {
 	s := &testServer{t: t}
 	log := zap.NewNop()
 	state := discovery.NewState(fleet.Member{ID: "self", Incarnation: 1, Version: 1, Domain: "a"}, log, time.Now(), func(*routes.Table) {})
 	state.SetRoutes(routes.New(1, 1, list, []routes.Service{{Name: "s"}}, []routes.Customer{{Name: "club", Keys: []string{"key"}}},
 		routes.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20}))
-	for i, script := range scripts {
+	for i, script := range answers {
 		e := s.startEndpoint(fmt.Sprint("i-", i), script)
 		state.SetInstance(discovery.Instance{ID: e.id, Revision: uint64(i + 2), Service: "s", Address: e.address, Domain: "a", Slots: 4})
 		s.endpoints = append(s.endpoints, e)
@@ -133,7 +133,7 @@
 	return s
 }
 
-func (s *testServer) startEndpoint(id string, script responder) *fakeEndpoint {
+func (s *testServer) startEndpoint(id string, answer responder) *fakeEndpoint {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
@@ -146,13 +146,13 @@
 			if err != nil {
 				return
 			}
-			go e.serve(c, script)
+			go e.serve(c, answer)
 		}
 	}()
 	return e
 }
 
-func (e *fakeEndpoint) serve(c net.Conn, script responder) {
+func (e *fakeEndpoint) serve(c net.Conn, answer responder) {
 	defer c.Close()
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
@@ -165,7 +165,7 @@
 	e.mu.Lock()
 	e.requests, e.bodies = append(e.requests, r), append(e.bodies, string(body))
 	e.mu.Unlock()
-	script(c, r)
+	answer(c, r)
 }
 
 // respond answers with a status, header lines and a body of declared length. It announces that the endpoint closes: a gateway that
@@ -253,8 +253,8 @@
 	return n
 }
 
-// TestForwardedUnchanged sends a body through and looks at what arrives.
-func TestForwardedUnchanged(t *testing.T) {
+// TestRequestIsForwardedUnchanged sends a body through and looks at what arrives.
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), respond(201, "whole", "X-Own: yes"))
 	req := s.newRequest("PUT", "/r/a%2Fb//c?x=%20&x=2", strings.Repeat("b", 100_000), "X-Mine: kept", "Connection: X-Hop", "X-Hop: gone")
 	resp, body, err := s.do(req)
@@ -284,10 +284,10 @@
 // rejected it.
 func TestOutcomes(t *testing.T) {
 	const safe, unsafe = routes.Idempotent, routes.NonIdempotent
-	torn := func(c net.Conn, r *http.Request) {
+	truncated := func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 50\r\n\r\nhalf", headerID, r.Header.Get(headerID))
 	}
-	crossed := func(c net.Conn, r *http.Request) {
+	foreign := func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: other\r\nContent-Length: 2\r\n\r\nno", headerID)
 	}
 	rows := []struct {
@@ -298,7 +298,7 @@
 		second   responder
 		status   int
 		body     string
-		runs     int
+		requests int
 	}{
 		{"whole", unsafe, 2, respond(200, "a"), respond(200, "a"), 200, "a", 1},
 		{"rejected, then run", unsafe, 2, reject, respond(200, "a"), 200, "a", 2},
@@ -306,9 +306,9 @@
 		{"rejected, one attempt allowed", unsafe, 1, reject, reject, 503, "", 1},
 		{"hung up", unsafe, 2, closeConn, closeConn, 502, "", 1},
 		{"hung up, may be repeated", safe, 2, closeConn, respond(200, "a"), 200, "a", 2},
-		{"torn", unsafe, 2, torn, torn, 502, "", 1},
-		{"torn, may be repeated", safe, 2, torn, respond(200, "a"), 200, "a", 2},
-		{"another's answer", unsafe, 2, crossed, crossed, 502, "", 1},
+		{"torn", unsafe, 2, truncated, truncated, 502, "", 1},
+		{"torn, may be repeated", safe, 2, truncated, respond(200, "a"), 200, "a", 2},
+		{"another's answer", unsafe, 2, foreign, foreign, 502, "", 1},
 		{"failed", unsafe, 2, respond(500, "sorry"), respond(500, "sorry"), 500, "sorry", 1},
 		{"failed, may be repeated", safe, 2, respond(500, "sorry"), respond(200, "a"), 200, "a", 2},
 		{"failed twice", safe, 2, respond(500, "sorry"), respond(500, "sorry"), 500, "sorry", 2},
@@ -335,19 +335,19 @@
 			if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
 				t.Error("a refusal without a time to come back")
 			}
-			if s.requestCount() != row.runs {
-				t.Errorf("%d endpoints were sent the request, want %d", s.requestCount(), row.runs)
+			if s.requestCount() != row.requests {
+				t.Errorf("%d endpoints were sent the request, want %d", s.requestCount(), row.requests)
 			}
 		})
 	}
 }
 
-// TestLongAnswerIsTorn cuts an answer too long to be kept whole, after a part of it
+// TestTruncatedLongAnswerIsNotRetried cuts an answer too long to be kept whole, after a part of it
 // is with the caller.
 //
 // Though the request may be repeated, nothing else is asked: a second answer would
 // be joined to the first.
-func TestLongAnswerIsTorn(t *testing.T) {
+func TestTruncatedLongAnswerIsNotRetried(t *testing.T) {
 	long := strings.Repeat("a", 2*maxBufferedBytes)
 	torn := func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", headerID, r.Header.Get(headerID), len(long)+1, long)
@@ -359,8 +359,8 @@
 	}
 }
 
-// TestNobodyIsReached stops the endpoint's listener before the request comes.
-func TestNobodyIsReached(t *testing.T) {
+// TestUnreachableEndpoint stops the endpoint's listener before the request comes.
+func TestUnreachableEndpoint(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 2))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -374,7 +374,7 @@
 	}
 }
 
-func TestStreams(t *testing.T) {
+func TestStreamResumption(t *testing.T) {
 	rows := []struct {
 		name      string
 		resumable bool
@@ -441,8 +441,8 @@
 	return strings.Join(ids, " ")
 }
 
-// TestEventsArriveAsTheyCome reads the first event while the endpoint still works.
-func TestEventsArriveAsTheyCome(t *testing.T) {
+// TestEventsAreFlushedImmediately reads the first event while the endpoint still works.
+func TestEventsAreFlushedImmediately(t *testing.T) {
 	more := make(chan struct{})
 	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
 		respondStream("", "1")(c, r)
@@ -465,10 +465,10 @@
 	}
 }
 
-// TestCallerLeaves hangs up while the endpoint works.
+// TestCallerDisconnectClosesEndpointConnection hangs up while the endpoint works.
 //
 // The endpoint's connection closes, which tells it to stop; nothing else is asked.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnectClosesEndpointConnection(t *testing.T) {
 	working, stopped := make(chan struct{}), make(chan struct{})
 	s := newTestServer(t, singleRoute(routes.Idempotent, 2), func(c net.Conn, _ *http.Request) {
 		close(working)
@@ -482,7 +482,7 @@
 	<-stopped
 }
 
-func TestWhoMayCallWhat(t *testing.T) {
+func TestRequestAuthorizationAndLimits(t *testing.T) {
 	list := append(singleRoute(routes.Idempotent, 1), routes.Route{
 		Name: "open", Host: "h", Prefix: "/open/", Kind: routes.Idempotent, Targets: []routes.Target{{Service: "s", Weight: 1}}, Public: true, MaxAttempts: 1,
 	})
--- a/internal/coordination/gateway/ingress_test.go
+++ b/internal/coordination/gateway/ingress_test.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestLimitsLoweredWhileARequestIsRead guards against a configuration that closes connections under
+// TestLimitsLoweredDuringRequestRead guards against a configuration that closes connections under
 // requests which its limits don't allow any more.
-func TestLimitsLoweredWhileARequestIsRead(t *testing.T) {
+func TestLimitsLoweredDuringRequestRead(t *testing.T) {
 	const head = "POST /r/x HTTP/1.1\r\nHost: h\r\n" + headerID + ": id-1\r\n" + headerKey + ": key\r\n"
 	long := strings.Repeat("x", 300<<10)
 	rows := []struct {
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestLengthBeyondMemory guards against a panic on a length that no limit in force forbids.
-func TestLengthBeyondMemory(t *testing.T) {
+// TestHugeContentLength guards against a panic on a length that no limit in force forbids.
+func TestHugeContentLength(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), respond(200, "a"))
 	s.reconfigure(singleRoute(routes.NonIdempotent, 1), []routes.Service{{Name: "s"}}, []routes.Customer{{Name: "club", Keys: []string{"key"}}}, routes.Limits{})
 	_, c, r := s.serveIngress()
@@ -100,9 +100,9 @@
 	s.expectStatus(r, http.StatusServiceUnavailable)
 }
 
-// TestConfigurationTakenAwayInFlight guards against a panic on a route, service or customer that is
+// TestConfigRemovedInFlight guards against a panic on a route, service or customer that is
 // gone when the endpoint of a request underway answers or fails.
-func TestConfigurationTakenAwayInFlight(t *testing.T) {
+func TestConfigRemovedInFlight(t *testing.T) {
 	rows := []struct {
 		name   string
 		kind   routes.Kind
@@ -119,10 +119,10 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			reached, goOn := make(chan struct{}), make(chan struct{})
+			reached, proceed := make(chan struct{}), make(chan struct{})
 			s := newTestServer(t, singleRoute(row.kind, 2), func(c net.Conn, r *http.Request) {
 				close(reached)
-				<-goOn
+				<-proceed
 				row.last(c, r)
 			})
 			server, c, r := s.serveIngress()
@@ -131,15 +131,15 @@
 			s.reconfigure(nil, nil, nil, routes.Limits{HeaderTimeout: time.Nanosecond, IdleTimeout: time.Nanosecond, BodyBytes: 1, HeaderBytes: 1})
 			server.SetLimits(s.gateway.State.Routes().Limits)
 			s.gateway.State.ReplaceInstances(nil, false, time.Now())
-			close(goOn)
+			close(proceed)
 			s.expectStatus(r, row.status)
 		})
 	}
 }
 
-// TestWaitingCallerIsNotTakenForGone guards against read errors that are none of the caller's, such
+// TestWaitingCallerIsNotSeenAsDisconnected guards against read errors that are none of the caller's, such
 // as a deadline left over from its body or header: its request's time ends, and it must be told.
-func TestWaitingCallerIsNotTakenForGone(t *testing.T) {
+func TestWaitingCallerIsNotSeenAsDisconnected(t *testing.T) {
 	head := fmt.Sprintf("POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n%s: 150\r\n", headerID, headerKey, headerTimeLeft)
 	const length, chunked = "Content-Length: 5\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n"
 	rows := []struct {
@@ -176,32 +176,32 @@
 	}
 }
 
-// TestLateRequestsAtAStop guards against requests that come late in the time to stop and are cut
+// TestLateRequestsDuringDrain guards against requests that come late in the time to stop and are cut
 // with an endpoint at work: what can't end in time is refused, unrun, and may go elsewhere.
-func TestLateRequestsAtAStop(t *testing.T) {
-	const late = time.Minute
+func TestLateRequestsDuringDrain(t *testing.T) {
+	const margin = time.Minute
 	rows := []struct {
-		name       string
-		from, left time.Duration
-		status     int
-		runs       int
+		name                  string
+		refuseAfter, timeLeft time.Duration
+		status                int
+		requests              int
 	}{
-		{"in time", late, 0, 200, 1},
-		{"late", -late, 0, 503, 0},
-		{"late, and its own time ends before", -late, 5 * time.Second, 200, 1},
+		{"in time", margin, 0, 200, 1},
+		{"late", -margin, 0, 503, 0},
+		{"late, and its own time ends before", -margin, 5 * time.Second, 200, 1},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
 			now := time.Now()
 			// The route gives 30 s.
-			s.gateway.SetDrainWindow(now.Add(row.from), now.Add(20*time.Second))
+			s.gateway.SetDrainWindow(now.Add(row.refuseAfter), now.Add(20*time.Second))
 			req := s.newRequest("GET", "/r/x", "")
-			if row.left > 0 {
-				req.Header.Set(headerTimeLeft, fmt.Sprint(row.left.Milliseconds()))
+			if row.timeLeft > 0 {
+				req.Header.Set(headerTimeLeft, fmt.Sprint(row.timeLeft.Milliseconds()))
 			}
 			resp, body, err := s.do(req)
-			if err != nil || resp.StatusCode != row.status || s.requestCount() != row.runs {
+			if err != nil || resp.StatusCode != row.status || s.requestCount() != row.requests {
 				t.Fatalf("%v %q %v, %d runs", resp, body, err, s.requestCount())
 			}
 			if row.status == 503 && (resp.Header.Get("Retry-After") == "" || resp.Header.Get("X-Limpetwall-Ran") != "no") {
--- a/internal/coordination/gateway/requestlog_test.go
+++ b/internal/coordination/gateway/requestlog_test.go
@@ -15,13 +15,13 @@
 	"limpetwall/internal/state/routes"
 )
 
-// TestRequestLineTellsWhatTheCallerGot ends exchanges in each way and compares the request's
+// TestRequestLogNamesWhatCallerReceived ends exchanges in each way and compares the request's
 // line with what its caller saw.
 //
 // A stream that breaks after its first event ends with a decision of 502, and its caller
 // has a 200 and a cut connection. A line that says 502 alone sends on-call looking for a 502
 // that nobody received.
-func TestRequestLineTellsWhatTheCallerGot(t *testing.T) {
+func TestRequestLogNamesWhatCallerReceived(t *testing.T) {
 	rows := []struct {
 		name     string
 		kind     routes.Kind
@@ -58,16 +58,16 @@
 	}
 }
 
-// TestCallerThatLeftGotNothing lets a caller leave while an endpoint is at work: the line
+// TestRequestLogOfDisconnectedCaller lets a caller leave while an endpoint is at work: the line
 // names no status, as none arrived.
-func TestCallerThatLeftGotNothing(t *testing.T) {
+func TestRequestLogOfDisconnectedCaller(t *testing.T) {
 	arrived := make(chan struct{})
-	atWork := func(c net.Conn, _ *http.Request) {
+	blockUntilClosed := func(c net.Conn, _ *http.Request) {
 		close(arrived)
 		io.Copy(io.Discard, c)
 	}
 	core, lines := observer.New(zap.InfoLevel)
-	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), atWork)
+	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), blockUntilClosed)
 	s.gateway.Log = zap.New(core)
 	ctx, leave := context.WithCancel(t.Context())
 	go func() {
@@ -79,13 +79,13 @@
 	}
 	s.server.Close()
 	line := lines.FilterMessage("request").All()[0].ContextMap()
-	if _, told := line["caller_status"]; told || line["caller_got"] != string(receipt.Nothing) {
+	if _, present := line["caller_status"]; present || line["caller_got"] != string(receipt.Nothing) {
 		t.Errorf("the line says %v, status %v", line["caller_got"], line["caller_status"])
 	}
 }
 
-// TestRequestRefusedBeforeItsDeadlineIsKnown guards against a log that tells of minus 292 years.
-func TestRequestRefusedBeforeItsDeadlineIsKnown(t *testing.T) {
+// TestRequestLogWithoutDeadline guards against a log that tells of minus 292 years.
+func TestRequestLogWithoutDeadline(t *testing.T) {
 	core, lines := observer.New(zap.InfoLevel)
 	s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
 	s.gateway.Log = zap.New(core)
@@ -93,7 +93,7 @@
 		t.Fatal(resp, err)
 	}
 	s.server.Close()
-	if given, told := lines.FilterMessage("request").All()[0].ContextMap()["time_given"]; told {
+	if given, present := lines.FilterMessage("request").All()[0].ContextMap()["time_given"]; present {
 		t.Errorf("time_given is %v", given)
 	}
 }
--- a/internal/coordination/gateway/run.go
+++ b/internal/coordination/gateway/run.go
@@ -142,15 +142,15 @@
 	if x.service.Engine == nil || sent > 0 {
 		return nil
 	}
-	ok, retryAfterDelay := admission.Accept(admission.Prospect{
+	ok, delay := admission.Accept(admission.Prospect{
 		Wait: c.Wait, First: c.TTFT, Objective: x.route.Objective, Left: x.timeLeft(), Rank: x.table.PriorityRank(x.priority(), x.service.Name),
 	})
 	if ok {
 		return nil
 	}
-	retryAfterDelay += time.Duration(rand.Int64N(int64(retryAfterDelay)))
+	delay += time.Duration(rand.Int64N(int64(delay)))
 	message := "the engines are full: the best would begin in " + c.Wait.Round(time.Millisecond).String()
-	return apierror.Later(http.StatusServiceUnavailable, apierror.CodeOverloaded, message, retryAfterDelay)
+	return apierror.Later(http.StatusServiceUnavailable, apierror.CodeOverloaded, message, delay)
 }
 
 // needsRetryBudget tells whether another attempt draws on the retry budget. What reached no endpoint
