--- a/internal/coordination/gateway/attempt.go
+++ b/internal/coordination/gateway/attempt.go
@@ -122,7 +122,7 @@
 func (x *exchange) handleRejection(c routing.Choice, a Attempt, r Reply) outcome {
 	switch {
 	case r.Misdirected && a.Weights > 0:
-		x.g.doubt(c.Member.ID)
+		x.g.enqueueWeightQuery(c.Member.ID)
 	case r.Misdirected:
 		x.g.State.Misdirected(c.Member.ID)
 	}
@@ -154,7 +154,7 @@
 func (x *exchange) plainAttempt(ctx context.Context, c routing.Choice, a Attempt) outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	defer x.callBackWhenBlamed(cancel)()
+	defer x.cancelWhenBlamed(cancel)()
 	resp, reply, out := x.send(ctx, c, a)
 	if resp == nil {
 		return out
--- a/internal/coordination/gateway/crash.go
+++ b/internal/coordination/gateway/crash.go
@@ -23,10 +23,10 @@
 	// probeTimeout bounds the connection that tells whether an endpoint's process still listens:
 	// a host that is up answers within a round trip.
 	probeTimeout = 300 * time.Millisecond
-	// keepProbe is how long the crash of an endpoint is remembered for runs whose connections break later.
-	keepProbe = 10 * time.Second
-	// runsLogged bounds the requests named in the line on an endpoint's end.
-	runsLogged = 16
+	// crashRetention is how long the crash of an endpoint is remembered for runs whose connections break later.
+	crashRetention = 10 * time.Second
+	// maxLoggedRuns bounds the requests named in the line on an endpoint's end.
+	maxLoggedRuns = 16
 )
 
 // brokenRun is an attempt whose connection ended without a whole answer.
@@ -37,7 +37,7 @@
 
 // crashProbe finds out what became of an endpoint when a run's connection had ended.
 type crashProbe struct {
-	opened time.Time
+	startedAt time.Time
 	// done is closed when what was found is in the evidence.
 	done    chan struct{}
 	crashed bool
@@ -46,45 +46,45 @@
 
 // crashProbes are those underway, and of endpoints that crashed of late, by incarnation.
 type crashProbes struct {
-	underway sync.WaitGroup
-	mu       sync.Mutex
-	open     map[uint64]*crashProbe
+	inFlight      sync.WaitGroup
+	mu            sync.Mutex
+	byIncarnation map[uint64]*crashProbe
 }
 
-// join adds a run to its endpoint's probe. The caller has to carry out the first of an incarnation, and to
+// addRun adds a run to its endpoint's probe. The caller has to carry out the first of an incarnation, and to
 // report a run that comes late, when the probe has been concluded.
-func (q *crashProbes) join(incarnation uint64, run brokenRun) (p *crashProbe, first, late bool) {
+func (q *crashProbes) addRun(incarnation uint64, run brokenRun) (p *crashProbe, first, late bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if p := q.open[incarnation]; p != nil {
+	if p := q.byIncarnation[incarnation]; p != nil {
 		p.runs = append(p.runs, run)
 		return p, false, p.crashed
 	}
-	if q.open == nil {
-		q.open = map[uint64]*crashProbe{}
+	if q.byIncarnation == nil {
+		q.byIncarnation = map[uint64]*crashProbe{}
 	}
-	p = &crashProbe{opened: time.Now(), done: make(chan struct{}), runs: []brokenRun{run}}
-	q.open[incarnation] = p
+	p = &crashProbe{startedAt: time.Now(), done: make(chan struct{}), runs: []brokenRun{run}}
+	q.byIncarnation[incarnation] = p
 	return p, true, false
 }
 
-// conclude notes what was found. An endpoint that lives may end later: only an end is remembered.
-func (q *crashProbes) conclude(incarnation uint64, p *crashProbe, crashed bool) []brokenRun {
+// finish notes what was found. An endpoint that lives may end later: only an end is remembered.
+func (q *crashProbes) finish(incarnation uint64, p *crashProbe, crashed bool) []brokenRun {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	p.crashed = crashed
 	if !crashed {
-		delete(q.open, incarnation)
+		delete(q.byIncarnation, incarnation)
 	} else {
-		time.AfterFunc(keepProbe, func() { q.forget(incarnation) })
+		time.AfterFunc(crashRetention, func() { q.remove(incarnation) })
 	}
 	return p.runs
 }
 
-func (q *crashProbes) forget(incarnation uint64) {
+func (q *crashProbes) remove(incarnation uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	delete(q.open, incarnation)
+	delete(q.byIncarnation, incarnation)
 }
 
 // probeCrash has an endpoint probed under which a run broke. nil means that there is nothing to find out.
@@ -97,13 +97,13 @@
 		// One that leaves ends by itself, and cuts what it still runs.
 		return nil
 	}
-	run := brokenRun{quarantine.Run{Key: x.fingerprint(), About: x.about(), Sent: sent, Output: x.firstEventAt}, x.call.ID}
-	p, first, late := x.g.crashProbes.join(c.Member.Incarnation, run)
+	run := brokenRun{quarantine.Run{Key: x.fingerprint(), About: x.describe(), Sent: sent, Output: x.firstEventAt}, x.call.ID}
+	p, first, late := x.g.crashProbes.addRun(c.Member.Incarnation, run)
 	switch {
 	case first:
-		x.g.crashProbes.underway.Go(func() { x.g.runProbe(instance, c.Member.Incarnation, p) })
+		x.g.crashProbes.inFlight.Go(func() { x.g.runProbe(instance, c.Member.Incarnation, p) })
 	case late:
-		x.g.Guard.Blame(run.Run, c.Member.Incarnation, p.opened)
+		x.g.Guard.Blame(run.Run, c.Member.Incarnation, p.startedAt)
 	}
 	return p
 }
@@ -128,7 +128,7 @@
 	if errors.As(err, &network) && network.Timeout() {
 		return false
 	}
-	return !errors.Is(err, upstream.ErrForeign) && !errors.Is(err, errWeightsReplaced) && !errors.Is(err, errStopped)
+	return !errors.Is(err, upstream.ErrForeign) && !errors.Is(err, errWeightsReplaced) && !errors.Is(err, errRunStopped)
 }
 
 // runProbe carries out a probe.
@@ -136,22 +136,22 @@
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	crashed := upstream.HasEnded(ctx, g.Dial, i.Address)
-	runs := g.crashProbes.conclude(incarnation, p, crashed)
+	runs := g.crashProbes.finish(incarnation, p, crashed)
 	defer close(p.done)
 	if !crashed {
 		g.count("connections_ended")
 		return
 	}
 	for _, run := range runs {
-		g.Guard.Blame(run.Run, incarnation, p.opened)
+		g.Guard.Blame(run.Run, incarnation, p.startedAt)
 	}
 	g.count("endpoints_crashed")
 	g.Log.Warn("endpoint crashed", zap.String("endpoint", i.ID), zap.String("service", i.Service), zap.String("address", i.Address),
-		zap.Int("runs_broken", len(runs)), zap.Any("runs", linesOf(runs[:min(len(runs), runsLogged)], p.opened)))
+		zap.Int("runs_broken", len(runs)), zap.Any("runs", loggedRuns(runs[:min(len(runs), maxLoggedRuns)], p.startedAt)))
 }
 
-// runLine is a broken run as the log tells of it.
-type runLine struct {
+// loggedRun is a broken run as the log tells of it.
+type loggedRun struct {
 	RequestID   string          `json:"request_id"`
 	Fingerprint fingerprint.Key `json:"fingerprint"`
 	// SentMS and OutputMS tell how long before the endpoint's end it was sent, and had its first event.
@@ -159,21 +159,21 @@
 	OutputMS int64 `json:"output_ms,omitempty"`
 }
 
-func linesOf(broken []brokenRun, end time.Time) []runLine {
-	out := make([]runLine, 0, len(broken))
+func loggedRuns(broken []brokenRun, crashedAt time.Time) []loggedRun {
+	out := make([]loggedRun, 0, len(broken))
 	for _, run := range broken {
-		line := runLine{RequestID: run.requestID, Fingerprint: run.Key, SentMS: end.Sub(run.Sent).Milliseconds()}
+		line := loggedRun{RequestID: run.requestID, Fingerprint: run.Key, SentMS: crashedAt.Sub(run.Sent).Milliseconds()}
 		if !run.Output.IsZero() {
-			line.OutputMS = end.Sub(run.Output).Milliseconds()
+			line.OutputMS = crashedAt.Sub(run.Output).Milliseconds()
 		}
 		out = append(out, line)
 	}
 	return out
 }
 
-// quarantined refuses a request that crashes endpoints. To a gateway each attempt of a caller is a new request: without
+// checkQuarantine refuses a request that crashes endpoints. To a gateway each attempt of a caller is a new request: without
 // a memory that all share, one that crashes endpoints takes one away with every attempt, at every gateway.
-func (x *exchange) quarantined(ctx context.Context) *apierror.Error {
+func (x *exchange) checkQuarantine(ctx context.Context) *apierror.Error {
 	if x.g.Guard.IsIdle() {
 		return nil
 	}
@@ -185,56 +185,56 @@
 // errBlamed ends an attempt that has no answer yet when its request is to blame for the crashes of others.
 const errBlamed = errors.ConstError("the request has crashed other endpoints")
 
-// waitingRun is an attempt that has no answer yet.
-type waitingRun struct {
+// pendingRun is an attempt that has no answer yet.
+type pendingRun struct {
 	request fingerprint.Request
 	body    []byte
 	cancel  context.CancelCauseFunc
 }
 
-// waitingRuns are those that are called back when their requests are found to be to blame. Their fingerprints are computed
+// pendingRuns are those that are called back when their requests are found to be to blame. Their fingerprints are computed
 // only then: most runs are sent while no crash is known.
-type waitingRuns struct {
-	watch sync.Once
-	mu    sync.Mutex
-	runs  map[*waitingRun]struct{}
+type pendingRuns struct {
+	subscribe sync.Once
+	mu        sync.Mutex
+	runs      map[*pendingRun]struct{}
 	// blamed are the requests to look for, looking tells that someone does.
-	blamed  map[fingerprint.Key]struct{}
-	looking bool
+	blamed    map[fingerprint.Key]struct{}
+	searching bool
 }
 
-func (w *waitingRuns) add(run *waitingRun) {
+func (w *pendingRuns) add(run *pendingRun) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.runs == nil {
-		w.runs = map[*waitingRun]struct{}{}
+		w.runs = map[*pendingRun]struct{}{}
 	}
 	w.runs[run] = struct{}{}
 }
 
-func (w *waitingRuns) remove(run *waitingRun) {
+func (w *pendingRuns) remove(run *pendingRun) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.runs, run)
 }
 
-// blame has the runs of a request called back.
-func (w *waitingRuns) blame(key fingerprint.Key) {
+// onBlame has the runs of a request called back.
+func (w *pendingRuns) onBlame(key fingerprint.Key) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.blamed == nil {
 		w.blamed = map[fingerprint.Key]struct{}{}
 	}
 	w.blamed[key] = struct{}{}
-	if !w.looking {
-		w.looking = true
-		go w.look()
+	if !w.searching {
+		w.searching = true
+		go w.cancelBlamed()
 	}
 }
 
-func (w *waitingRuns) look() {
+func (w *pendingRuns) cancelBlamed() {
 	for {
-		runs, blamed := w.take()
+		runs, blamed := w.drainBlamed()
 		if len(blamed) == 0 {
 			return
 		}
@@ -246,25 +246,25 @@
 	}
 }
 
-// take returns the requests to look for, and where; none if all are done.
-func (w *waitingRuns) take() ([]*waitingRun, map[fingerprint.Key]struct{}) {
+// drainBlamed returns the requests to look for, and where; none if all are done.
+func (w *pendingRuns) drainBlamed() ([]*pendingRun, map[fingerprint.Key]struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	blamed := w.blamed
 	w.blamed = nil
-	w.looking = len(blamed) > 0
+	w.searching = len(blamed) > 0
 	return slices.Collect(maps.Keys(w.runs)), blamed
 }
 
-// callBackWhenBlamed cancels an attempt once its request is to blame; it would crash this endpoint as well. The returned
+// cancelWhenBlamed cancels an attempt once its request is to blame; it would crash this endpoint as well. The returned
 // function ends that.
-func (x *exchange) callBackWhenBlamed(cancel context.CancelCauseFunc) (stop func()) {
+func (x *exchange) cancelWhenBlamed(cancel context.CancelCauseFunc) (stop func()) {
 	if x.g.Guard == nil || x.onTrial {
 		return func() {}
 	}
-	w := &x.g.waitingRuns
-	w.watch.Do(func() { x.g.Guard.Book.OnBlame(w.blame) })
-	run := &waitingRun{x.identity(), x.body, cancel}
+	w := &x.g.pendingRuns
+	w.subscribe.Do(func() { x.g.Guard.Book.OnBlame(w.onBlame) })
+	run := &pendingRun{x.identity(), x.body, cancel}
 	w.add(run)
 	if !x.g.Guard.IsIdle() && x.g.Guard.Blocks(x.fingerprint()) {
 		cancel(errBlamed)
@@ -272,10 +272,10 @@
 	return func() { w.remove(run) }
 }
 
-// hasCrashedTooMany tells whether a request must not be sent to another endpoint. After a run that broke it waits for what
+// isRetryBlocked tells whether a request must not be sent to another endpoint. After a run that broke it waits for what
 // became of the endpoint: otherwise a request that may be repeated would crash a second before the first counts.
 // A trial that no endpoint ran, as they were full, goes on: it would else be wasted.
-func (x *exchange) hasCrashedTooMany(ctx context.Context, p *crashProbe) bool {
+func (x *exchange) isRetryBlocked(ctx context.Context, p *crashProbe) bool {
 	if p == nil {
 		return !x.onTrial && !x.g.Guard.IsIdle() && x.g.Guard.Blocks(x.fingerprint())
 	}
@@ -286,15 +286,15 @@
 	return x.g.Guard.Blocks(x.fingerprint())
 }
 
-// noteSurvival clears a request that an endpoint has run to its end, also to one that is a failure.
-func (x *exchange) noteSurvival(o outcome) {
+// recordSurvival clears a request that an endpoint has run to its end, also to one that is a failure.
+func (x *exchange) recordSurvival(o outcome) {
 	if (o.kind == delivered || o.kind == answeredFailure) && !x.g.Guard.IsIdle() {
 		x.g.Guard.Survived(x.fingerprint())
 	}
 }
 
-// about describes the request to operators.
-func (x *exchange) about() quarantine.About {
+// describe describes the request to operators.
+func (x *exchange) describe() quarantine.About {
 	about := quarantine.About{Service: x.service.Name, Method: x.r.Method, Target: x.r.RequestURI}
 	if x.customer != nil {
 		about.Customer = x.customer.Name
--- a/internal/coordination/gateway/crash_test.go
+++ b/internal/coordination/gateway/crash_test.go
@@ -163,14 +163,14 @@
 }
 
 // wait returns when no probe is underway; the requests have ended.
-func (q *crashProbes) wait() { q.underway.Wait() }
+func (q *crashProbes) wait() { q.inFlight.Wait() }
 
 // settled returns when what broke is in the evidence.
 func (q *crashProbes) settled(t *testing.T) {
 	t.Helper()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, in := range q.open {
+	for _, in := range q.byIncarnation {
 		q.mu.Unlock()
 		<-in.done
 		q.mu.Lock()
@@ -221,10 +221,10 @@
 }
 
 // settled returns when nobody looks for runs to call back.
-func (w *waitingRuns) settled() {
+func (w *pendingRuns) settled() {
 	for looking := true; looking; runtime.Gosched() {
 		w.mu.Lock()
-		looking = w.looking
+		looking = w.searching
 		w.mu.Unlock()
 	}
 }
@@ -286,7 +286,7 @@
 		t.Fatal(err)
 	}
 	blame()
-	s.gateway.waitingRuns.settled()
+	s.gateway.pendingRuns.settled()
 	close(blamed)
 	if rest, err := io.ReadAll(resp.Body); err != nil {
 		t.Errorf("%q %v", rest, err)
@@ -299,7 +299,7 @@
 	var s *testServer
 	s = newTestServer(t, singleRoute(routes.NonIdempotent, 1), func(c net.Conn, r *http.Request) {
 		blame()
-		s.gateway.waitingRuns.settled()
+		s.gateway.pendingRuns.settled()
 		respond(200, "a")(c, r)
 	})
 	guard := s.guarded()
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -72,11 +72,11 @@
 	// weights holds the newest version of each model that an endpoint serves.
 	weights atomic.Pointer[map[string]int64]
 	// promptSizes of each route's prompts.
-	promptSizes sizes
+	promptSizes requestSizes
 	// engineHashes maps addresses to the hashes of the instances there.
 	engineHashes atomic.Pointer[map[string]uint64]
 	crashProbes  crashProbes
-	waitingRuns  waitingRuns
+	pendingRuns  pendingRuns
 	notReady     atomic.Bool
 	drain        atomic.Pointer[drainWindow]
 	inFlight     atomic.Int64
@@ -392,7 +392,7 @@
 	if x.isTooLate() {
 		return notRunEnding(apierror.CodeStopping, "the gateway stops before the request's time is up")
 	}
-	if refusal := x.quarantined(ctx); refusal != nil {
+	if refusal := x.checkQuarantine(ctx); refusal != nil {
 		return refusalEnding(refusal)
 	}
 	return x.run(ctx)
--- a/internal/coordination/gateway/reconfigure_test.go
+++ b/internal/coordination/gateway/reconfigure_test.go
@@ -75,7 +75,7 @@
 	w.routes(n)
 	w.revision++
 	w.instance(n)
-	w.site.gateway.sync(nil)
+	w.site.gateway.syncEndpoints(nil)
 	w.site.gateway.Pool.Forget(w.site.endpoints[n%len(w.site.endpoints)].address)
 }
 
--- a/internal/coordination/gateway/relocate.go
+++ b/internal/coordination/gateway/relocate.go
@@ -23,42 +23,42 @@
 	// ErrNoCapacity: the destination has no room or can't be reached.
 	ErrNoCapacity = errors.ConstError("no room for the run")
 
-	// errStopped: the run was stopped for a move that failed.
-	errStopped = errors.ConstError("the run was stopped, and not moved")
+	// errRunStopped: the run was stopped for a move that failed.
+	errRunStopped = errors.ConstError("the run was stopped, and not moved")
 
-	// errEnded: the attempt ended before its run was stopped.
-	errEnded = errors.ConstError("the run has ended")
+	// errRunEnded: the attempt ended before its run was stopped.
+	errRunEnded = errors.ConstError("the run has ended")
 )
 
 // RunCopier copies a running request's memory from one engine to another. With last the
 // run stops first, and its stream closes without its end; without it the run goes on
 // meanwhile. The handle names the copy; with ErrNoCapacity, what the source of a stopped run keeps.
 type RunCopier interface {
-	Copy(ctx context.Context, source discovery.Instance, call, destination string, last bool) (handle string, err error)
+	Copy(ctx context.Context, source discovery.Instance, requestID, destination string, final bool) (handle string, err error)
 	// Drop frees a copy that is not used.
 	Drop(ctx context.Context, source discovery.Instance, handle string) error
 }
 
 const (
-	// relocateAfter is how long a run may end by itself once its engine is to be emptied:
+	// relocationDelay is how long a run may end by itself once its engine is to be emptied:
 	// most short ones do. Loading weights takes an engine about twice as long.
-	relocateAfter = 250 * time.Millisecond
+	relocationDelay = 250 * time.Millisecond
 	// copyTimeout bounds one copy. A run of 1,000 tokens of 160 KB takes 5 ms over links of
 	// 280 Gbit/s, and waits behind others.
 	copyTimeout = time.Second
-	// closeWithin is how long after its stop a run's stream may take to close; it is cut
+	// streamCloseTimeout is how long after its stop a run's stream may take to close; it is cut
 	// then. What was still on the way comes again where the run goes on.
-	closeWithin = 200 * time.Millisecond
+	streamCloseTimeout = 200 * time.Millisecond
 	// dropTimeout bounds the release of a copy.
 	dropTimeout = 500 * time.Millisecond
-	// shortestLeft of the time in which replaced weights may begin is needed at the
+	// minStartWindow of the time in which replaced weights may begin is needed at the
 	// destination: one whose own turn to load comes sooner gains nothing.
-	shortestLeft = time.Second
-	// mostWait for a slot and memory at the destination: where runs already wait for them,
+	minStartWindow = time.Second
+	// maxDestinationWait for a slot and memory at the destination: where runs already wait for them,
 	// one more would push another out. Prompts that wait there to be read are no hindrance,
 	// a copied run goes before them: counted in, they left most runs of busy engines where
 	// they were, and an engine waits for its last.
-	mostWait = 50 * time.Millisecond
+	maxDestinationWait = 50 * time.Millisecond
 )
 
 // continuation is where a stopped run goes on.
@@ -69,55 +69,55 @@
 	handle string
 }
 
-// from is the copy's name in a send.
-func (c *continuation) from() string { return c.source.Address + "/" + c.handle }
+// copyName is the copy's name in a send.
+func (c *continuation) copyName() string { return c.source.Address + "/" + c.handle }
 
 // relocation watches over one attempt: when its engine is to be emptied, to load weights
 // or to leave, the run is copied to another engine and goes on there. Otherwise the engine
 // waits for its longest run, several seconds, in which it takes no new work; and one that
 // leaves cuts what runs longer than it stays.
 type relocation struct {
-	begun atomic.Bool
-	stop  context.CancelFunc
+	hasOutput atomic.Bool
+	stop      context.CancelFunc
 	// settled is set once, by whoever is first: the run's stop, or the attempt's end. An
 	// answer that is complete does not wait for a copy that is still underway.
 	settled atomic.Bool
 	done    chan struct{}
 	// next is set before done is closed if the run has been stopped and copied.
 	next *continuation
-	// mayBeStopped is set before done is closed if the run's stop was ordered, and it was not copied.
-	mayBeStopped bool
+	// maybeStopped is set before done is closed if the run's stop was ordered, and it was not copied.
+	maybeStopped bool
 }
 
 // watchRelocation starts a relocation for an attempt; ctx is the attempt's, and cut ends it.
 func (x *exchange) watchRelocation(ctx context.Context, cut func(), c routing.Choice, send Attempt) *relocation {
 	r := &relocation{done: make(chan struct{})}
 	ctx, r.stop = context.WithCancel(ctx)
-	leave := x.g.State.Emptying(c.Member.ID)
-	if x.g.Copier == nil || leave == nil || send.Weights == 0 {
+	emptying := x.g.State.Emptying(c.Member.ID)
+	if x.g.Copier == nil || emptying == nil || send.Weights == 0 {
 		close(r.done)
 		return r
 	}
 	go func() {
 		defer close(r.done)
 		select {
-		case <-leave:
+		case <-emptying:
 		case <-ctx.Done():
 			return
 		}
-		if !pause.For(ctx, relocateAfter) || !r.begun.Load() {
+		if !pause.For(ctx, relocationDelay) || !r.hasOutput.Load() {
 			return
 		}
-		if r.next = x.relocate(ctx, r, c); r.next != nil && pause.For(ctx, closeWithin) {
+		if r.next = x.relocate(ctx, r, c); r.next != nil && pause.For(ctx, streamCloseTimeout) {
 			cut()
 		}
 	}()
 	return r
 }
 
-// outcome ends the watch. What it returns is true if the run goes on elsewhere: its stream
+// finish ends the watch. What it returns is true if the run goes on elsewhere: its stream
 // has then closed without its end, however that looked.
-func (r *relocation) outcome() (*continuation, bool) {
+func (r *relocation) finish() (*continuation, bool) {
 	r.stop()
 	if r.settled.CompareAndSwap(false, true) {
 		return nil, false
@@ -139,27 +139,27 @@
 		x.g.count("runs_moved.no_destination")
 		return nil
 	}
-	// The call must not be cut when the stream ends, which its own effect brings about.
-	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*copyTimeout)
+	// The copyCtx must not be cut when the stream ends, which its own effect brings about.
+	copyCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*copyTimeout)
 	defer cancel()
-	began := time.Now()
+	startedAt := time.Now()
 	stopOrdered := false
-	handle, err := x.g.Copier.Copy(call, source, x.call.ID, target.Member.Address, false)
+	handle, err := x.g.Copier.Copy(copyCtx, source, x.call.ID, target.Member.Address, false)
 	if err == nil && !r.settled.CompareAndSwap(false, true) {
-		err = errEnded
+		err = errRunEnded
 	}
 	if err == nil {
-		var last string
+		var finalHandle string
 		stopOrdered = true
-		last, err = x.g.Copier.Copy(call, source, x.call.ID, target.Member.Address, true)
-		handle = cmp.Or(last, handle)
+		finalHandle, err = x.g.Copier.Copy(copyCtx, source, x.call.ID, target.Member.Address, true)
+		handle = cmp.Or(finalHandle, handle)
 	}
 	moved := err == nil
 	x.g.Log.Info("run moved", zap.String("request_id", x.call.ID), zap.String("from", c.Member.ID), zap.String("to", target.Member.ID),
-		zap.Bool("done", moved), zap.Duration("took", time.Since(began)), zap.Error(err))
+		zap.Bool("done", moved), zap.Duration("took", time.Since(startedAt)), zap.Error(err))
 	if !moved {
 		if stopOrdered && !errors.Is(err, ErrRunNotFound) {
-			r.mayBeStopped = true
+			r.maybeStopped = true
 		}
 		x.g.count("runs_moved.failed")
 		x.g.Directory.Release(target)
@@ -172,10 +172,10 @@
 
 // chooseDestination finds an engine with the same weights that has room at once.
 func (x *exchange) chooseDestination(c routing.Choice) routing.Choice {
-	held := x.call.PromptTokens + x.call.OutputTokens
+	heldTokens := x.call.PromptTokens + x.call.OutputTokens
 	target := x.g.Directory.Choose(x.service.Name, nil, &routing.Request{
 		// The run's memory comes with it: no prompt is read there.
-		HeldTokens: held, MeanHeldTokens: held, HoldingsKnown: true, SegmentsKnown: true, PlacementHashKnown: true,
+		HeldTokens: heldTokens, MeanHeldTokens: heldTokens, HoldingsKnown: true, SegmentsKnown: true, PlacementHashKnown: true,
 		Domain: x.g.Domain, CrossDomainPenalty: crossDomainPenalty, Urgency: x.urgency(), Objective: config.Objective{WeightTTFT: 1},
 		WeightVersion: c.Member.Endpoint.WeightVersion, Now: time.Now(),
 		// One whose turn to load comes soon would have to pass the run on, or refuse it.
@@ -184,22 +184,22 @@
 	if target.Member.ID == "" {
 		return target
 	}
-	left, limited := x.g.State.BeginLeft(target.Member.ID)
-	if target.CapacityWait > mostWait || (limited && left < shortestLeft) {
+	window, limited := x.g.State.BeginLeft(target.Member.ID)
+	if target.CapacityWait > maxDestinationWait || (limited && window < minStartWindow) {
 		x.g.Directory.Release(target)
 		return routing.Choice{}
 	}
 	return target
 }
 
-// judge tells how an attempt ended whose run was not moved. Where only the connection ends the answer, a stopped run
+// correctOutcome tells how an attempt ended whose run was not moved. Where only the connection ends the answer, a stopped run
 // looks whole.
-func (r *relocation) judge(out outcome, resp *upstream.Response) outcome {
-	if !r.mayBeStopped {
+func (r *relocation) correctOutcome(out outcome, resp *upstream.Response) outcome {
+	if !r.maybeStopped {
 		return out
 	}
 	if out.kind == delivered && resp.EndsWithConnection {
-		out = outcome{kind: broken, err: errStopped}
+		out = outcome{kind: broken, err: errRunStopped}
 	}
 	out.stopOrdered = out.kind == broken
 	return out
--- a/internal/coordination/gateway/requestsizes_test.go
+++ b/internal/coordination/gateway/requestsizes_test.go
@@ -7,22 +7,22 @@
 
 // TestSizesOfRoutes keeps each route's mean apart, and forgets routes that come without end.
 func TestSizesOfRoutes(t *testing.T) {
-	var s sizes
+	var s requestSizes
 	for range 1000 {
-		s.take("large", 20_000)
-		s.take("small", 100)
-		s.take("mixed", 1000)
-		s.take("mixed", 3000)
+		s.observe("large", 20_000)
+		s.observe("small", 100)
+		s.observe("mixed", 1000)
+		s.observe("mixed", 3000)
 	}
 	for route, want := range map[string]int{"large": 20_000, "small": 100, "mixed": 2000} {
-		if got := s.take(route, want); got < want*9/10 || got > want*11/10 {
+		if got := s.observe(route, want); got < want*9/10 || got > want*11/10 {
 			t.Errorf("%s: %d, want about %d", route, got, want)
 		}
 	}
-	for i := range 3 * routesKept {
-		s.take(fmt.Sprint("r", i), 1)
+	for i := range 3 * maxRoutes {
+		s.observe(fmt.Sprint("r", i), 1)
 	}
-	if len(s.mean) > routesKept {
-		t.Errorf("%d routes kept", len(s.mean))
+	if len(s.means) > maxRoutes {
+		t.Errorf("%d routes kept", len(s.means))
 	}
 }
--- a/internal/coordination/gateway/run.go
+++ b/internal/coordination/gateway/run.go
@@ -54,8 +54,8 @@
 func (x *exchange) runAttempts(ctx context.Context) ending {
 	request := x.routingRequest()
 	prompt := x.promptContext()
-	request.PlacementHash, request.PlacementHashKnown, request.ChunkEnds = prompt.root, true, prompt.ends
-	x.know(request, prompt)
+	request.PlacementHash, request.PlacementHashKnown, request.ChunkEnds = prompt.placementKey, true, prompt.ends
+	x.setHoldings(request, prompt)
 	var last outcome
 	sent, unreached := 0, 0
 	for {
@@ -75,7 +75,7 @@
 		started := time.Now()
 		attempt := x.newAttempt(choice, prompt)
 		if last.next != nil {
-			attempt.continueFrom(last.next.from())
+			attempt.continueFrom(last.next.copyName())
 		}
 		if x.route.Kind == routes.Streaming {
 			last = x.streamAttempt(ctx, choice, attempt)
@@ -93,7 +93,7 @@
 		} else {
 			unreached++
 		}
-		x.noteSurvival(last)
+		x.recordSurvival(last)
 		switch last.kind {
 		case delivered:
 			return ending{kind: endAnswered}
@@ -102,7 +102,7 @@
 		case relocated:
 			continue
 		}
-		if !x.canRetry(ctx, last, sent, unreached) || x.hasCrashedTooMany(ctx, probe) {
+		if !x.canRetry(ctx, last, sent, unreached) || x.isRetryBlocked(ctx, probe) {
 			return x.finalEnding(last, sent)
 		}
 		switch {
@@ -254,7 +254,7 @@
 func (x *exchange) routingRequest() *routing.Request {
 	held, mean := x.call.PromptTokens+x.call.OutputTokens, 0
 	if held > 0 {
-		mean = x.g.promptSizes.take(x.route.Name, held)
+		mean = x.g.promptSizes.observe(x.route.Name, held)
 	}
 	return &routing.Request{
 		PromptTokens: x.call.PromptTokens, Domain: x.g.Domain, HeldTokens: held, MeanHeldTokens: mean,
@@ -294,7 +294,7 @@
 		a.Customer = x.customer.Name
 	}
 	if x.service.Engine != nil && p.keys != nil {
-		x.place(&a, p, c)
+		x.planTransfers(&a, p, c)
 	}
 	return a
 }
--- a/internal/coordination/gateway/stream.go
+++ b/internal/coordination/gateway/stream.go
@@ -58,10 +58,10 @@
 	x.g.Directory.RecordSent(c, x.startedAt)
 	x.relocation = x.watchRelocation(ctx, stop, c, a)
 	out = x.relayEvents(ctx, c, resp)
-	next, moved := x.relocation.outcome()
+	next, moved := x.relocation.finish()
 	switch {
 	case !moved:
-		return x.relocation.judge(out, resp)
+		return x.relocation.correctOutcome(out, resp)
 	case requestCtx.Err() != nil:
 		x.abandon(next)
 		out = x.classifyError(requestCtx, requestCtx.Err())
@@ -86,7 +86,7 @@
 // for seconds longer than was foreseen, and its answer would be worth nothing.
 func (x *exchange) withBeginDeadline(ctx context.Context, c routing.Choice) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	unwatch := x.callBackWhenBlamed(cancel)
+	unwatch := x.cancelWhenBlamed(cancel)
 	x.onStreamBegun = unwatch
 	if left, limited := x.g.State.BeginLeft(c.Member.ID); limited {
 		timer := time.AfterFunc(max(0, left), func() { cancel(errWeightsReplaced) })
@@ -124,7 +124,7 @@
 				metrics.GetOrRegisterTimer("gateway.first_event", x.g.Metrics).UpdateSince(x.startedAt)
 			}
 		}
-		x.relocation.begun.Store(true)
+		x.relocation.hasOutput.Store(true)
 		x.writeStreamHead(resp)
 		if _, err := x.w.Write(event); err != nil {
 			return outcome{kind: callerLeft, err: err}
--- a/internal/coordination/gateway/sync.go
+++ b/internal/coordination/gateway/sync.go
@@ -12,13 +12,13 @@
 // RunEndpointSync keeps the directory's picture of the endpoints' fixed properties, and
 // the connections to them, in step with discovery until ctx ends.
 func (g *Gateway) RunEndpointSync(ctx context.Context) {
-	const sweepEvery = time.Second
-	ticker := time.NewTicker(sweepEvery)
+	const sweepInterval = time.Second
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	addresses := map[string]fleet.Incarnation{}
 	for {
 		changed := g.State.Table.Changed()
-		addresses = g.sync(addresses)
+		addresses = g.syncEndpoints(addresses)
 		select {
 		case <-changed:
 		case <-ticker.C:
@@ -29,17 +29,17 @@
 	}
 }
 
-// sync returns what stands at each address, given what stood there before.
-func (g *Gateway) sync(before map[string]fleet.Incarnation) map[string]fleet.Incarnation {
+// syncEndpoints returns what stands at each address, given what stood there before.
+func (g *Gateway) syncEndpoints(previous map[string]fleet.Incarnation) map[string]fleet.Incarnation {
 	table := g.State.Routes()
 	if table == nil {
-		return before
+		return previous
 	}
-	after := map[string]fleet.Incarnation{}
+	current := map[string]fleet.Incarnation{}
 	now := time.Now()
-	weights, engines, members := map[string]int64{}, map[string]contextcache.Engine{}, map[string]uint64{}
+	weights, engines, endpoints := map[string]int64{}, map[string]contextcache.Engine{}, map[string]uint64{}
 	for _, i := range g.State.Instances() {
-		after[i.Address] = i.Incarnation()
+		current[i.Address] = i.Incarnation()
 		weights[i.Model] = max(weights[i.Model], i.Weights)
 		properties := routing.Properties{Slots: i.Slots, PrefillRate: defaultPrefillRate, LinkRate: defaultLinkRate, CountsOnly: true}
 		engine := contextcache.Engine{Domain: i.Domain}
@@ -49,32 +49,32 @@
 		}
 		if i.Model != "" {
 			engines[i.Address] = engine
-			members[i.Address] = routing.HashID(i.ID)
+			endpoints[i.Address] = routing.HashID(i.ID)
 		}
 		g.Directory.SetProperties(i.ID, properties, now)
 	}
 	// A request that finds the weights known reads the engines: in the other order one
 	// that comes between the two would find none, and its connection would break.
-	g.engineHashes.Store(&members)
+	g.engineHashes.Store(&endpoints)
 	g.weights.Store(&weights)
 	if g.ContextTracker != nil {
 		g.ContextTracker.SetEngines(engines)
 	}
-	for address, stood := range before {
+	for address, incarnation := range previous {
 		// What was open to an earlier start is dead: a request sent on it would be lost
 		// without a word of whether it ran.
-		if after[address] != stood {
+		if current[address] != incarnation {
 			g.Pool.Forget(address)
 		}
 	}
-	return after
+	return current
 }
 
 // RunContextCleanup frees context of replaced weights, in the process that holds the
 // rollout lease, until ctx ends.
 func (g *Gateway) RunContextCleanup(ctx context.Context) {
-	const every = time.Second
-	ticker := time.NewTicker(every)
+	const interval = time.Second
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -99,9 +99,9 @@
 	return oldest
 }
 
-// weightsOf is the newest version of a model that an endpoint serves, 0 if none is
+// newestWeights is the newest version of a model that an endpoint serves, 0 if none is
 // known.
-func (g *Gateway) weightsOf(model string) int64 {
+func (g *Gateway) newestWeights(model string) int64 {
 	if known := g.weights.Load(); known != nil {
 		return (*known)[model]
 	}
--- a/internal/coordination/gateway/sync_test.go
+++ b/internal/coordination/gateway/sync_test.go
@@ -37,7 +37,7 @@
 		s.gateway.State.SetInstance(discovery.Instance{
 			ID: "i", Born: row.born, Revision: uint64(n + 5), Service: "s", Address: endpoint.Listener.Addr().String(), Domain: "a", Slots: 4,
 		})
-		known = s.gateway.sync(known)
+		known = s.gateway.syncEndpoints(known)
 		if resp, _, err := s.do(s.newRequest("PUT", "/r/x", "b")); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v %v", resp, err)
 		}
