--- a/internal/command/agent.go
+++ b/internal/command/agent.go
@@ -87,7 +87,7 @@
 	built(p)
 	p.start(stop)
 	p.run(a.RunDuties)
-	p.run(func(ctx context.Context) { p.node.Quarantines().Keep(ctx, time.Now) })
+	p.run(func(ctx context.Context) { p.node.Quarantines().RunExpiry(ctx, time.Now) })
 	p.zap.Info("agent ready", zap.String("peer_listen", p.listener.Addr().String()), zap.Uint64("revision", p.store.View().Revision))
 	<-stop.Graceful
 	drainAgent(p, a, stop)
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -169,7 +169,7 @@
 		Codec: platform.Codec{}, ContextTracker: keeper, Log: log, Metrics: registry,
 		RequestLogLimiter: rate.NewLimiter(rate.Limit(*s.RequestLines), *s.RequestLines),
 	}
-	p.gateway.Guard = quarantine.NewGuard(quarantine.NewBook(), store, log, registry, bootclock.Now)
+	p.gateway.Guard = quarantine.NewGuard(quarantine.NewTracker(), store, log, registry, bootclock.Now)
 	if b.KeysRevoked > 0 {
 		p.gateway.KeysValidFor = max(time.Millisecond, b.KeysRevoked-revokeMargin)
 		watcher.Wait = min(watcher.Wait, b.KeysRevoked/revokeWatches)
--- a/internal/command/gateway_peers.go
+++ b/internal/command/gateway_peers.go
@@ -11,7 +11,7 @@
 	"limpetwall/internal/coordination/discovery"
 	"limpetwall/internal/coordination/loadreport"
 	"limpetwall/internal/coordination/notice"
-	"limpetwall/internal/coordination/quarantineshare"
+	"limpetwall/internal/coordination/quarantinegossip"
 	"limpetwall/internal/coordination/rollout"
 	"limpetwall/internal/state/fleet"
 	"limpetwall/internal/transport/datagram"
@@ -101,7 +101,7 @@
 		p.log.Error("quarantines are not told to other gateways", zap.Error(err))
 		return
 	}
-	shared := &quarantineshare.Sharer{Group: group, Hosts: sharer.Hosts, Book: guard.Book, Now: guard.Now, Log: p.log}
+	shared := &quarantinegossip.Exchanger{Group: group, Hosts: sharer.Hosts, Quarantines: guard.Quarantines, Now: guard.Now, Log: p.log}
 	p.run(shared.Run)
 }
 
--- a/internal/coordination/gateway/crash.go
+++ b/internal/coordination/gateway/crash.go
@@ -31,7 +31,7 @@
 
 // brokenRun is an attempt whose connection ended without a whole answer.
 type brokenRun struct {
-	quarantine.Run
+	quarantine.Attempt
 	requestID string
 }
 
@@ -97,13 +97,13 @@
 		// One that leaves ends by itself, and cuts what it still runs.
 		return nil
 	}
-	run := brokenRun{quarantine.Run{Key: x.fingerprint(), About: x.describe(), Sent: sent, Output: x.firstEventAt}, x.call.ID}
+	run := brokenRun{quarantine.Attempt{Key: x.fingerprint(), About: x.describe(), Sent: sent, Output: x.firstEventAt}, x.call.ID}
 	p, first, late := x.g.crashProbes.addRun(c.Member.Incarnation, run)
 	switch {
 	case first:
 		x.g.crashProbes.inFlight.Go(func() { x.g.runProbe(instance, c.Member.Incarnation, p) })
 	case late:
-		x.g.Guard.Blame(run.Run, c.Member.Incarnation, p.startedAt)
+		x.g.Guard.RecordCrash(run.Attempt, c.Member.Incarnation, p.startedAt)
 	}
 	return p
 }
@@ -143,7 +143,7 @@
 		return
 	}
 	for _, run := range runs {
-		g.Guard.Blame(run.Run, incarnation, p.startedAt)
+		g.Guard.RecordCrash(run.Attempt, incarnation, p.startedAt)
 	}
 	g.count("endpoints_crashed")
 	g.Log.Warn("endpoint crashed", zap.String("endpoint", i.ID), zap.String("service", i.Service), zap.String("address", i.Address),
@@ -178,7 +178,7 @@
 		return nil
 	}
 	refusal := x.g.Guard.Admit(ctx, x.fingerprint())
-	x.onTrial = refusal == nil && x.g.Guard.Blocks(x.fingerprint())
+	x.onTrial = refusal == nil && x.g.Guard.IsBlocked(x.fingerprint())
 	return refusal
 }
 
@@ -263,10 +263,10 @@
 		return func() {}
 	}
 	w := &x.g.pendingRuns
-	w.subscribe.Do(func() { x.g.Guard.Book.OnBlame(w.onBlame) })
+	w.subscribe.Do(func() { x.g.Guard.Quarantines.OnBlame(w.onBlame) })
 	run := &pendingRun{x.identity(), x.body, cancel}
 	w.add(run)
-	if !x.g.Guard.IsIdle() && x.g.Guard.Blocks(x.fingerprint()) {
+	if !x.g.Guard.IsIdle() && x.g.Guard.IsBlocked(x.fingerprint()) {
 		cancel(errBlamed)
 	}
 	return func() { w.remove(run) }
@@ -277,25 +277,25 @@
 // A trial that no endpoint ran, as they were full, goes on: it would else be wasted.
 func (x *exchange) isRetryBlocked(ctx context.Context, p *crashProbe) bool {
 	if p == nil {
-		return !x.onTrial && !x.g.Guard.IsIdle() && x.g.Guard.Blocks(x.fingerprint())
+		return !x.onTrial && !x.g.Guard.IsIdle() && x.g.Guard.IsBlocked(x.fingerprint())
 	}
 	select {
 	case <-p.done:
 	case <-ctx.Done():
 	}
-	return x.g.Guard.Blocks(x.fingerprint())
+	return x.g.Guard.IsBlocked(x.fingerprint())
 }
 
 // recordSurvival clears a request that an endpoint has run to its end, also to one that is a failure.
 func (x *exchange) recordSurvival(o outcome) {
 	if (o.kind == delivered || o.kind == answeredFailure) && !x.g.Guard.IsIdle() {
-		x.g.Guard.Survived(x.fingerprint())
+		x.g.Guard.RecordCompletion(x.fingerprint())
 	}
 }
 
 // describe describes the request to operators.
-func (x *exchange) describe() quarantine.About {
-	about := quarantine.About{Service: x.service.Name, Method: x.r.Method, Target: x.r.RequestURI}
+func (x *exchange) describe() quarantine.RequestInfo {
+	about := quarantine.RequestInfo{Service: x.service.Name, Method: x.r.Method, Target: x.r.RequestURI}
 	if x.customer != nil {
 		about.Customer = x.customer.Name
 	}
--- a/internal/coordination/gateway/crash_test.go
+++ b/internal/coordination/gateway/crash_test.go
@@ -85,7 +85,7 @@
 
 // guarded gives a site's gateway a guard whose duties don't run.
 func (s *testServer) guarded() *quarantine.Guard {
-	s.gateway.Guard = quarantine.NewGuard(quarantine.NewBook(), standin.New(), zap.NewNop(), metrics.NewRegistry(), time.Now)
+	s.gateway.Guard = quarantine.NewGuard(quarantine.NewTracker(), standin.New(), zap.NewNop(), metrics.NewRegistry(), time.Now)
 	return s.gateway.Guard
 }
 
@@ -198,7 +198,7 @@
 	later := time.Now()
 	guard.Now = func() time.Time { return later }
 	key := fingerprint.Of(fingerprint.Request{Customer: "club", Host: "h", Method: "POST", Target: "/r/x"}, []byte("b"))
-	guard.Book.Merge(quarantine.Case{Key: key, Level: 1, Until: later.Add(time.Second)}, later)
+	guard.Quarantines.Merge(quarantine.Record{Key: key, Level: 1, Until: later.Add(time.Second)}, later)
 	if resp, _, err := s.do(s.newRequest("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("in quarantine: %v %v", resp, err)
 	}
@@ -215,7 +215,7 @@
 	key = fingerprint.Of(fingerprint.Request{Customer: "club", Host: "h", Method: "POST", Target: "/r/x"}, []byte("b"))
 	return key, func() {
 		for incarnation := range uint64(3) {
-			guard.Book.Crashed(key, incarnation, quarantine.About{}, guard.Now())
+			guard.Quarantines.RecordCrash(key, incarnation, quarantine.RequestInfo{}, guard.Now())
 		}
 	}
 }
@@ -306,7 +306,7 @@
 	var key fingerprint.Key
 	key, blame = crashesOf(guard)
 	now := time.Now()
-	guard.Book.Merge(quarantine.Case{Key: key, Level: 1, Until: now}, now)
+	guard.Quarantines.Merge(quarantine.Record{Key: key, Level: 1, Until: now}, now)
 	if resp, _, err := s.do(s.newRequest("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("%v %v", resp, err)
 	}
--- a/internal/coordination/quarantine/bench_test.go
+++ b/internal/coordination/quarantine/bench_test.go
@@ -8,10 +8,10 @@
 )
 
 // fullBook holds as many suspects as a book takes, at 64 crashes.
-func fullBook() *Book {
-	b := NewBook()
+func fullBook() *Tracker {
+	b := NewTracker()
 	for i := range maxCases - 1 {
-		b.Crashed(keyOf(fmt.Sprint(i)), uint64(i%64), About{}, start)
+		b.RecordCrash(keyOf(fmt.Sprint(i)), uint64(i%64), RequestInfo{}, start)
 	}
 	return b
 }
@@ -28,7 +28,7 @@
 func BenchmarkSettle(b *testing.B) {
 	book := fullBook()
 	for b.Loop() {
-		book.Settle(start)
+		book.Evaluate(start)
 	}
 }
 
--- a/internal/coordination/quarantine/verdict.go
+++ b/internal/coordination/quarantine/blame.go
@@ -33,16 +33,16 @@
 const (
 	// Clear: it may run.
 	Clear Standing = iota
-	// Held: it will be in quarantine unless the crashes turn out to be another's.
-	Held
+	// Pending: it will be in quarantine unless the crashes turn out to be another's.
+	Pending
 	// Quarantined: it may not run.
 	Quarantined
 	// OnTrial: its quarantine is over; one run will tell.
 	OnTrial
 )
 
-// Verdict tells whether a request may run.
-type Verdict struct {
+// Status tells whether a request may run.
+type Status struct {
 	Standing Standing
 	// After is when its caller may come back.
 	After time.Duration
@@ -51,28 +51,28 @@
 }
 
 // Check tells whether a request may run.
-func (b *Book) Check(key fingerprint.Key, now time.Time) Verdict {
+func (b *Tracker) Check(key fingerprint.Key, now time.Time) Status {
 	if b.IsEmpty() {
-		return Verdict{}
+		return Status{}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.cases[key]
 	switch {
 	case c == nil || !now.Before(c.expires()):
-		return Verdict{}
+		return Status{}
 	case c.Level > 0 && now.Before(c.Until):
-		return Verdict{Standing: Quarantined, After: c.Until.Sub(now), Crashes: len(c.Crashes)}
+		return Status{Standing: Quarantined, After: c.Until.Sub(now), Crashes: len(c.Crashes)}
 	case c.Level > 0:
-		return Verdict{Standing: OnTrial, After: heldPause, Crashes: len(c.Crashes)}
+		return Status{Standing: OnTrial, After: heldPause, Crashes: len(c.Crashes)}
 	case b.isBlamed(c):
-		return Verdict{Standing: Held, After: heldPause, Crashes: len(c.Crashes)}
+		return Status{Standing: Pending, After: heldPause, Crashes: len(c.Crashes)}
 	}
-	return Verdict{}
+	return Status{}
 }
 
 // IsSuspect tells whether a request was at a crash: it should not be run twice at once.
-func (b *Book) IsSuspect(key fingerprint.Key) bool {
+func (b *Tracker) IsSuspect(key fingerprint.Key) bool {
 	if b.IsEmpty() {
 		return false
 	}
@@ -87,7 +87,7 @@
 // A crash is that of the request that was at most crashes: one that only ran beside a culprit is at some of the
 // culprit's, and hardly at all. And a culprit is at most of the crashes since shortly before it came: while endpoints are
 // killed, a request that is tried again may be at several, but endpoints without it are killed as well.
-func (b *Book) isBlamed(c *Case) bool {
+func (b *Tracker) isBlamed(c *Record) bool {
 	if len(c.Crashes) < crashesToBlame {
 		return false
 	}
@@ -122,7 +122,7 @@
 	likelierOther
 )
 
-func (b *Book) likeliest(at *crash, c *Case) likelihood {
+func (b *Tracker) likeliest(at *crash, c *Record) likelihood {
 	found := likeliestSelf
 	for _, key := range at.present {
 		other := b.cases[key]
@@ -139,7 +139,7 @@
 
 // crashesWithout counts the crashes since a time at which neither the request nor another culprit was present: several
 // that come at once would else speak for each other.
-func (b *Book) crashesWithout(c *Case, since time.Time) int {
+func (b *Tracker) crashesWithout(c *Record, since time.Time) int {
 	n := 0
 	for incarnation, at := range b.crashes {
 		if !c.wasAt(incarnation) && !at.seen.Before(since) && !slices.ContainsFunc(at.present, b.isCulprit) {
@@ -150,7 +150,7 @@
 }
 
 // isCulprit tells whether a request is in quarantine, or at as many crashes as one that may be.
-func (b *Book) isCulprit(key fingerprint.Key) bool {
+func (b *Tracker) isCulprit(key fingerprint.Key) bool {
 	c := b.cases[key]
 	return c.Level > 0 || len(c.Crashes) >= crashesToBlame
 }
--- a/internal/coordination/quarantine/guard.go
+++ b/internal/coordination/quarantine/guard.go
@@ -36,7 +36,7 @@
 
 // Guard keeps requests in quarantine from being run. Its fields are set before use; nil guards nothing.
 type Guard struct {
-	Book *Book
+	Quarantines *Tracker
 	// Store holds the record of quarantines.
 	Store   objectapi.API
 	Log     *zap.Logger
@@ -51,15 +51,15 @@
 }
 
 // NewGuard returns a guard over a book.
-func NewGuard(book *Book, store objectapi.API, log *zap.Logger, registry metrics.Registry, now func() time.Time) *Guard {
+func NewGuard(book *Tracker, store objectapi.API, log *zap.Logger, registry metrics.Registry, now func() time.Time) *Guard {
 	return &Guard{
-		Book: book, Store: store, Log: log, Metrics: registry, Now: now,
+		Quarantines: book, Store: store, Log: log, Metrics: registry, Now: now,
 		Processes: func() int { return 1 },
 	}
 }
 
 // IsIdle tells that no request is known to have been at a crash: nothing needs a fingerprint.
-func (g *Guard) IsIdle() bool { return g == nil || g.Book.IsEmpty() }
+func (g *Guard) IsIdle() bool { return g == nil || g.Quarantines.IsEmpty() }
 
 // Admit tells whether a request may run; a refusal is its caller's answer. A request whose quarantine is over
 // gets one trial, which one process at a time takes from the store.
@@ -67,19 +67,19 @@
 	if g.IsIdle() {
 		return nil
 	}
-	v := g.Book.Check(key, g.Now())
+	v := g.Quarantines.Check(key, g.Now())
 	if v.Standing == OnTrial && g.takeTrial(ctx, key) {
 		return nil
 	}
 	return g.refusal(v)
 }
 
-// Blocks tells whether a request must not be run again after a run of it broke.
-func (g *Guard) Blocks(key fingerprint.Key) bool {
-	return !g.IsIdle() && g.Book.Check(key, g.Now()).Standing != Clear
+// IsBlocked tells whether a request must not be run again after a run of it broke.
+func (g *Guard) IsBlocked(key fingerprint.Key) bool {
+	return !g.IsIdle() && g.Quarantines.Check(key, g.Now()).Standing != Clear
 }
 
-func (g *Guard) refusal(v Verdict) *apierror.Error {
+func (g *Guard) refusal(v Status) *apierror.Error {
 	if v.Standing == Clear {
 		return nil
 	}
@@ -89,7 +89,7 @@
 		message = "this request was underway at " + strconv.Itoa(v.Crashes) + " endpoints when they crashed"
 	}
 	switch v.Standing {
-	case Held:
+	case Pending:
 		message += "; whether it is the cause is being settled"
 	case OnTrial:
 		message += "; it is not run until one trial of it has ended well"
@@ -107,33 +107,35 @@
 // shown that it can be run.
 const blameWithin = 500 * time.Millisecond
 
-// Run is one attempt of a request at one endpoint.
-type Run struct {
+// Attempt is one attempt of a request at one endpoint.
+type Attempt struct {
 	Key   fingerprint.Key
-	About About
+	About RequestInfo
 	Sent  time.Time
 	// Output is when its answer began; zero if it did not.
 	Output time.Time
 }
 
-// Blame holds an endpoint's crash against a run that was underway, unless it was sent to an endpoint that had
+// RecordCrash holds an endpoint's crash against a run that was underway, unless it was sent to an endpoint that had
 // crashed already or had run well for long.
-func (g *Guard) Blame(run Run, incarnation uint64, crashed time.Time) {
+func (g *Guard) RecordCrash(run Attempt, incarnation uint64, crashed time.Time) {
 	ranWell := !run.Output.IsZero() && crashed.Sub(run.Output) > blameWithin
 	if g != nil && !ranWell && run.Sent.Before(crashed) {
-		g.Book.Crashed(run.Key, incarnation, run.About, g.Now())
+		g.Quarantines.RecordCrash(run.Key, incarnation, run.About, g.Now())
 	}
 }
 
-// Survived records that an endpoint ran a request to its end.
-func (g *Guard) Survived(key fingerprint.Key) {
-	if g.Book.Survived(key, g.Now()) {
+// RecordCompletion records that an endpoint ran a request to its end.
+func (g *Guard) RecordCompletion(key fingerprint.Key) {
+	if g.Quarantines.RecordCompletion(key, g.Now()) {
 		g.Log.Info("request in quarantine ran to its end", zap.Stringer("fingerprint", key))
 	}
 }
 
 // IsSuspect tells whether a request was at a crash: it should not be run twice at once.
-func (g *Guard) IsSuspect(key fingerprint.Key) bool { return !g.IsIdle() && g.Book.IsSuspect(key) }
+func (g *Guard) IsSuspect(key fingerprint.Key) bool {
+	return !g.IsIdle() && g.Quarantines.IsSuspect(key)
+}
 
 // List returns the quarantines in force, as the record has them: it names requests that this process has not seen.
 func (g *Guard) List(ctx context.Context) ([]Entry, error) {
@@ -144,7 +146,7 @@
 
 // Lift ends a quarantine on an operator's word; false if there is none.
 func (g *Guard) Lift(key fingerprint.Key, operator string) bool {
-	if !g.Book.Lift(key, g.Now()) {
+	if !g.Quarantines.Lift(key, g.Now()) {
 		return false
 	}
 	g.Log.Info("operator lifts a quarantine", zap.Stringer("fingerprint", key), zap.String("operator", operator))
@@ -160,7 +162,7 @@
 	for {
 		select {
 		case <-settle.C:
-			g.Book.Settle(g.Now())
+			g.Quarantines.Evaluate(g.Now())
 			if wait, changed := g.noteChanges(); changed {
 				sync.Reset(wait)
 			}
@@ -176,7 +178,7 @@
 // them. A process that has not seen the request leaves that to those that have, and makes sure a little later: all of
 // a large fleet would write at once.
 func (g *Guard) noteChanges() (wait time.Duration, changed bool) {
-	digest := g.Book.Digest()
+	digest := g.Quarantines.Digest()
 	if digest == g.noted {
 		return 0, false
 	}
@@ -184,7 +186,7 @@
 	wait = pause.Jitter(syncActive)
 	levels := map[fingerprint.Key]uint32{}
 	inForce := int64(0)
-	for _, c := range g.Book.Durable() {
+	for _, c := range g.Quarantines.DurableRecords() {
 		levels[c.Key] = c.Level
 		if c.Level > 0 {
 			inForce++
@@ -198,7 +200,7 @@
 		default:
 			continue
 		}
-		if c.About != (About{}) {
+		if c.About != (RequestInfo{}) {
 			wait = 0
 		}
 	}
@@ -207,7 +209,7 @@
 	return wait, true
 }
 
-func (g *Guard) logQuarantine(c Case) {
+func (g *Guard) logQuarantine(c Record) {
 	g.count("begun")
 	g.Log.Warn("request in quarantine", zap.Stringer("fingerprint", c.Key), zap.String("service", c.About.Service),
 		zap.String("customer", c.About.Customer), zap.String("method", c.About.Method), zap.String("target", c.About.Target),
@@ -220,7 +222,7 @@
 		g.Log.Info("record of quarantines can't be kept", zap.Error(err))
 		return pause.Jitter(syncPause)
 	}
-	if len(g.Book.Durable()) == 0 {
+	if len(g.Quarantines.DurableRecords()) == 0 {
 		return pause.Jitter(syncIdle)
 	}
 	return pause.Jitter(min(syncIdle, syncActive*time.Duration(max(1, g.Processes()/syncShared))))
@@ -234,7 +236,7 @@
 			return err
 		}
 		now, timeOfDay := g.Now(), time.Now()
-		next, changed := update(entries, g.Book.Durable(), now, timeOfDay)
+		next, changed := update(entries, g.Quarantines.DurableRecords(), now, timeOfDay)
 		if !changed {
 			return nil
 		}
@@ -261,7 +263,7 @@
 	}
 	now, timeOfDay := g.Now(), time.Now()
 	for _, e := range entries {
-		g.Book.Merge(e.toCase(now, timeOfDay), now)
+		g.Quarantines.Merge(e.toCase(now, timeOfDay), now)
 	}
 	return entries, version, nil
 }
@@ -276,11 +278,11 @@
 // already holds the next quarantine: if this process ends, or the run crashes its endpoint, nothing more has to be done.
 func (g *Guard) takeTrial(ctx context.Context, key fingerprint.Key) bool {
 	entries, version, err := g.read(ctx)
-	if err != nil || g.Book.Check(key, g.Now()).Standing != OnTrial {
+	if err != nil || g.Quarantines.Check(key, g.Now()).Standing != OnTrial {
 		return false
 	}
 	now, timeOfDay := g.Now(), time.Now()
-	cases := g.Book.Durable()
+	cases := g.Quarantines.DurableRecords()
 	for i := range cases {
 		if cases[i].Key == key {
 			cases[i].quarantine(now)
@@ -291,7 +293,7 @@
 		g.Log.Info("request on trial is not run", zap.Stringer("fingerprint", key), zap.Error(err))
 		return false
 	}
-	g.Book.BeginTrial(key, now)
+	g.Quarantines.BeginTrial(key, now)
 	g.count("trials")
 	g.Log.Warn("request on trial", zap.Stringer("fingerprint", key))
 	return true
--- a/internal/coordination/quarantine/guard_test.go
+++ b/internal/coordination/quarantine/guard_test.go
@@ -51,7 +51,7 @@
 }
 
 func startGuard(t *testing.T, s *store) *process {
-	g := NewGuard(NewBook(), s, zap.NewNop(), metrics.NewRegistry(), time.Now)
+	g := NewGuard(NewTracker(), s, zap.NewNop(), metrics.NewRegistry(), time.Now)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -67,17 +67,17 @@
 // crash lets a request be at three crashes.
 func (p *process) crash(key fingerprint.Key) {
 	for incarnation := range uint64(crashesToBlame) {
-		about := About{Service: "s", Customer: "club", Method: "GET", Target: "/x"}
-		p.Blame(Run{Key: key, About: about, Sent: time.Now().Add(-time.Second)}, incarnation+1, time.Now())
+		about := RequestInfo{Service: "s", Customer: "club", Method: "GET", Target: "/x"}
+		p.RecordCrash(Attempt{Key: key, About: about, Sent: time.Now().Add(-time.Second)}, incarnation+1, time.Now())
 	}
 }
 
 // tell passes on what the processes know, as they do among themselves.
 func tell(all ...*process) {
 	for _, from := range all {
-		for _, c := range from.Book.Durable() {
+		for _, c := range from.Quarantines.DurableRecords() {
 			for _, to := range all {
-				to.Book.Merge(c, time.Now())
+				to.Quarantines.Merge(c, time.Now())
 			}
 		}
 	}
@@ -130,9 +130,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{Store: standin.New()}
 		p := startGuard(t, s)
-		p.Blame(Run{Key: keyOf("a"), About: About{Target: "/x"}, Sent: time.Now().Add(-time.Second)}, 1, time.Now())
-		p.Book.Merge(Case{Key: keyOf("a"), Level: 1, Crashes: crashesAt(time.Now(), 1, 2, 3), Until: time.Now().Add(firstQuarantine)}, time.Now())
-		p.Book.Merge(Case{Key: keyOf("unseen"), Level: 1, Crashes: crashesAt(time.Now(), 4, 5, 6), Until: time.Now().Add(firstQuarantine)}, time.Now())
+		p.RecordCrash(Attempt{Key: keyOf("a"), About: RequestInfo{Target: "/x"}, Sent: time.Now().Add(-time.Second)}, 1, time.Now())
+		p.Quarantines.Merge(Record{Key: keyOf("a"), Level: 1, Crashes: crashesAt(time.Now(), 1, 2, 3), Until: time.Now().Add(firstQuarantine)}, time.Now())
+		p.Quarantines.Merge(Record{Key: keyOf("unseen"), Level: 1, Crashes: crashesAt(time.Now(), 4, 5, 6), Until: time.Now().Add(firstQuarantine)}, time.Now())
 		time.Sleep(time.Second)
 		entries, err := ReadEntries(t.Context(), s)
 		if err != nil || len(entries) != 2 {
@@ -151,7 +151,7 @@
 		p.crash(keyOf("a"))
 		time.Sleep(inForce)
 		tell(p, other)
-		if err := LiftEntry(t.Context(), s, keyOf("b")); !errors.Is(err, ErrNoQuarantine) {
+		if err := LiftEntry(t.Context(), s, keyOf("b")); !errors.Is(err, ErrNotQuarantined) {
 			t.Errorf("another request: %v", err)
 		}
 		if err := LiftEntry(t.Context(), s, keyOf("a")); err != nil {
@@ -217,7 +217,7 @@
 			// The trial ends without a word: its process may have been killed.
 			time.Sleep(2*firstQuarantine<<round + syncIdle)
 		}
-		all[2].Survived(keyOf("a"))
+		all[2].RecordCompletion(keyOf("a"))
 		tell(all...)
 		for i, p := range all {
 			if got := p.code(t, keyOf("a")); got != "" {
@@ -285,18 +285,18 @@
 func TestWhoIsNotBlamed(t *testing.T) {
 	crashed := time.Now()
 	rows := map[string]struct {
-		run    Run
+		run    Attempt
 		blamed bool
 	}{
-		"had not begun":        {Run{Sent: crashed.Add(-time.Minute)}, true},
-		"had just begun":       {Run{Sent: crashed.Add(-time.Minute), Output: crashed.Add(-blameWithin)}, true},
-		"had run well":         {Run{Sent: crashed.Add(-time.Minute), Output: crashed.Add(-blameWithin - 1)}, false},
-		"sent after the crash": {Run{Sent: crashed.Add(1)}, false},
+		"had not begun":        {Attempt{Sent: crashed.Add(-time.Minute)}, true},
+		"had just begun":       {Attempt{Sent: crashed.Add(-time.Minute), Output: crashed.Add(-blameWithin)}, true},
+		"had run well":         {Attempt{Sent: crashed.Add(-time.Minute), Output: crashed.Add(-blameWithin - 1)}, false},
+		"sent after the crash": {Attempt{Sent: crashed.Add(1)}, false},
 	}
 	for name, row := range rows {
-		g := NewGuard(NewBook(), standin.New(), zap.NewNop(), metrics.NewRegistry(), time.Now)
+		g := NewGuard(NewTracker(), standin.New(), zap.NewNop(), metrics.NewRegistry(), time.Now)
 		row.run.Key = keyOf(name)
-		if g.Blame(row.run, 1, crashed); g.IsIdle() == row.blamed {
+		if g.RecordCrash(row.run, 1, crashed); g.IsIdle() == row.blamed {
 			t.Errorf("%s: blamed %v", name, !g.IsIdle())
 		}
 	}
--- a/internal/coordination/quarantine/record.go
+++ b/internal/coordination/quarantine/record.go
@@ -1,162 +1,188 @@
 package quarantine
 
 import (
-	"context"
-	"encoding/json"
+	"cmp"
 	"slices"
 	"time"
 
-	"github.com/juju/errors"
-
 	"limpetwall/internal/state/fingerprint"
-	"limpetwall/internal/transport/objectapi"
 )
 
-// recordKey is the object that holds the quarantines. It is one for all: a process reads it with one call at its
-// start, and two that change it at once are told so by its version.
-const recordKey = "quarantine"
-
-// maxEntries bounds the record, at about 400 bytes each, within what an object may hold.
-const maxEntries = 1024
-
-// Entry is a quarantine as the platform's store keeps it.
-type Entry struct {
-	Fingerprint fingerprint.Key `json:"fingerprint"`
-	Round       uint32          `json:"round"`
-	// Level counts quarantines in a row; 0: it was lifted.
-	Level uint32 `json:"level"`
-	// EndsMS is the quarantine's end; of a lifted one, when the entry may go. Unix ms.
-	EndsMS int64 `json:"ends_ms"`
-	// Crashes that the request was blamed for.
-	Crashes int `json:"crashes,omitempty"`
-	About
+const (
+	// firstQuarantine is about what an operator needs to look at the request; a longer one would punish
+	// a wrong verdict.
+	firstQuarantine = 5 * time.Minute
+	// maxQuarantine bounds the wait for a request whose endpoints have been repaired.
+	maxQuarantine = time.Hour
+	// evidenceLasts is how long a crash is held against a request that is not in quarantine.
+	evidenceLasts = 10 * time.Minute
+	// clearedLasts is how long a cleared request is remembered: longer than messages about it are underway.
+	clearedLasts = time.Minute
+	// maxCrashes bounds the crashes kept of one request; verdicts need fewer.
+	maxCrashes = 8
+)
+
+// Record is what is known of one request that was underway when endpoints crashed.
+//
+// Invariant: merge is commutative, associative and idempotent, so that all processes come to the same case
+// whatever order they hear it in.
+type Record struct {
+	Key fingerprint.Key
+	// Round is raised when the request is cleared: what is said of an earlier round is void.
+	Round uint32
+	// Crashes are those of endpoints that it was underway at, by incarnation.
+	Crashes []Crash
+	// Level counts the quarantines in a row; 0 is none.
+	Level uint32
+	// Until is the end of the quarantine by this process's clock.
+	Until time.Time
+	// Lifted tells that a quarantine was lifted in this round.
+	Lifted bool
+	// About tells operators what the request is, as far as this process has seen it.
+	About RequestInfo
+	// changed is when this process last learned anything of the case.
+	changed time.Time
 }
 
-type record struct {
-	Entries []Entry `json:"entries"`
+// Crash is that of one incarnation of an endpoint.
+type Crash struct {
+	Incarnation uint64
+	// Seen is when the first process saw it, by this process's clock. When this one heard of it says little: those that
+	// start hear at once of all that crashed before.
+	Seen time.Time
 }
 
-// ReadEntries returns the quarantines in force that a store holds, for operators.
-func ReadEntries(ctx context.Context, store objectapi.API) ([]Entry, error) {
-	entries, _, err := readRecord(ctx, store)
-	if err != nil {
-		return nil, err
-	}
-	now, out := time.Now(), []Entry{}
-	for _, e := range entries {
-		if e.Level > 0 && !e.isOver(now) {
-			out = append(out, e)
-		}
-	}
-	return out, nil
+// RequestInfo describes a request to operators.
+type RequestInfo struct {
+	Service  string `json:"service,omitempty"`
+	Customer string `json:"customer,omitempty"`
+	Method   string `json:"method,omitempty"`
+	// Target is the path with its query, cut to maxTarget bytes.
+	Target string `json:"target,omitempty"`
 }
 
-// ErrNoQuarantine tells that a request to be freed is in no quarantine.
-const ErrNoQuarantine = errors.ConstError("no such quarantine")
+// maxTarget bounds what is kept of a request's target, in bytes.
+const maxTarget = 200
 
-// LiftEntry ends a quarantine in the store; the processes hear of it there.
-func LiftEntry(ctx context.Context, store objectapi.API, key fingerprint.Key) error {
-	for range maxConflicts {
-		entries, version, err := readRecord(ctx, store)
-		if err != nil {
-			return err
-		}
-		i := slices.IndexFunc(entries, func(e Entry) bool { return e.Fingerprint == key && e.Level > 0 })
-		if i < 0 {
-			return ErrNoQuarantine
-		}
-		entries[i].Round++
-		entries[i].Level, entries[i].EndsMS = 0, time.Now().Add(maxQuarantine).UnixMilli()
-		if err = writeRecord(ctx, store, entries, version); !errors.Is(err, objectapi.ErrConflict) {
-			return err
-		}
-	}
-	return objectapi.ErrConflict
+// length of a quarantine: it doubles with each trial that failed.
+func length(level uint32) time.Duration {
+	return min(maxQuarantine, firstQuarantine<<min(max(level, 1)-1, 10))
 }
 
-// readRecord returns the entries and the version of the record, none and 0 before there is one.
-func readRecord(ctx context.Context, store objectapi.API) ([]Entry, int64, error) {
-	o, err := store.Get(ctx, recordKey)
-	if errors.Is(err, objectapi.ErrNotFound) {
-		return nil, 0, nil
-	}
-	if err != nil {
-		return nil, 0, errors.Trace(err)
-	}
-	var r record
-	if err := json.Unmarshal(o.Value, &r); err != nil {
-		return nil, o.Version, errors.WithType(err, errRecord)
+// isDurable tells whether the case must reach processes that start later.
+func (c *Record) isDurable() bool { return c.Level > 0 || c.Lifted }
+
+// began is when the quarantine did; zero without one.
+func (c *Record) began() time.Time {
+	switch {
+	case c.Level > 0:
+		return c.Until.Add(-length(c.Level))
+	case c.Lifted:
+		return c.changed
 	}
-	return r.Entries, o.Version, nil
+	return time.Time{}
 }
 
-// errRecord tells that the record's bytes aren't what these processes write.
-const errRecord = errors.ConstError("record of quarantines does not decode")
-
-func writeRecord(ctx context.Context, store objectapi.API, entries []Entry, version int64) error {
-	data, err := json.Marshal(record{entries})
-	if err != nil {
-		return errors.Trace(err)
+// expires is when the case is forgotten.
+func (c *Record) expires() time.Time {
+	switch {
+	case c.Level > 0:
+		// Who asks again after that is on trial; nobody has asked for long if it is still there.
+		return c.Until.Add(maxQuarantine)
+	case c.Lifted:
+		return c.changed.Add(maxQuarantine)
+	case len(c.Crashes) == 0:
+		return c.changed.Add(clearedLasts)
 	}
-	_, err = store.Put(ctx, recordKey, data, version)
-	return errors.Trace(err)
+	return c.changed.Add(evidenceLasts)
 }
 
-// toCase translates an entry's end from the time of day to this process's clock.
-func (e Entry) toCase(now, timeOfDay time.Time) Case {
-	c := Case{Key: e.Fingerprint, Round: e.Round, Level: e.Level, About: e.About, Lifted: e.Level == 0}
-	if e.Level > 0 {
-		c.Until = now.Add(time.UnixMilli(e.EndsMS).Sub(timeOfDay))
-	}
-	return c
+// quarantine begins the case's next quarantine. That of a request on trial begins with the trial: nobody else may try
+// meanwhile, also if the process that does ends.
+func (c *Record) quarantine(now time.Time) {
+	c.Level++
+	c.Until, c.changed = now.Add(length(c.Level)), now
 }
 
-func entryOf(c Case, now, timeOfDay time.Time) Entry {
-	ends := c.Until
-	if c.Level == 0 {
-		ends = c.expires()
+// clear voids what is known of the case.
+func (c *Record) clear(now time.Time) {
+	c.Lifted = c.Level > 0
+	c.Round++
+	c.Crashes, c.Level, c.Until, c.changed = nil, 0, time.Time{}, now
+}
+
+// merge takes in what another process knows; false if it is nothing new.
+func (c *Record) merge(o Record, now time.Time) bool {
+	if o.Round < c.Round {
+		return false
+	}
+	if o.Round > c.Round {
+		about := c.About
+		*c = o
+		c.Crashes = slices.Clone(o.Crashes)
+		c.changed = now
+		if c.About == (RequestInfo{}) {
+			c.About = about
+		}
+		return true
+	}
+	if c.About == (RequestInfo{}) {
+		c.About = o.About
+	}
+	changed := false
+	for _, crash := range o.Crashes {
+		changed = c.addCrash(crash) || changed
+	}
+	if o.Lifted && !c.Lifted {
+		c.Lifted, changed = true, true
 	}
-	return Entry{
-		Fingerprint: c.Key, Round: c.Round, Level: c.Level, Crashes: len(c.Crashes), About: c.About,
-		EndsMS: timeOfDay.Add(ends.Sub(now)).UnixMilli(),
+	switch {
+	case o.Level > c.Level:
+		c.Level, c.Until, changed = o.Level, o.Until, true
+	case o.Level == c.Level && o.Until.After(c.Until):
+		// No news: processes count the same quarantine from slightly different moments.
+		c.Until = o.Until
 	}
+	if changed {
+		c.changed = now
+	}
+	return changed
 }
 
-// isNewer tells whether a process knows more of a request than an entry says.
-func (c *Case) isNewer(e Entry) bool {
-	return c.Round > e.Round || (c.Round == e.Round && c.Level > e.Level)
+func (c *Record) wasAt(incarnation uint64) bool {
+	_, found := c.findCrash(incarnation)
+	return found
 }
 
-// isOver tells that an entry serves nobody any more.
-func (e Entry) isOver(timeOfDay time.Time) bool {
-	end := time.UnixMilli(e.EndsMS)
-	if e.Level > 0 {
-		end = end.Add(maxQuarantine)
-	}
-	return timeOfDay.After(end)
+// findCrash returns the place of an incarnation's crash among the case's.
+func (c *Record) findCrash(incarnation uint64) (at int, found bool) {
+	return slices.BinarySearchFunc(c.Crashes, incarnation, func(crash Crash, incarnation uint64) int {
+		return cmp.Compare(crash.Incarnation, incarnation)
+	})
 }
 
-// update brings entries up to what cases say; false if they say it already.
-func update(entries []Entry, cases []Case, now, timeOfDay time.Time) ([]Entry, bool) {
-	out := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.isOver(timeOfDay) })
-	changed := false
-	for _, c := range cases {
-		i := slices.IndexFunc(out, func(e Entry) bool { return e.Fingerprint == c.Key })
-		switch {
-		case i < 0 && len(out) < maxEntries:
-			out = append(out, entryOf(c, now, timeOfDay))
-			changed = true
-		case i >= 0 && c.isNewer(out[i]):
-			about := out[i].About
-			out[i] = entryOf(c, now, timeOfDay)
-			if c.About == (About{}) {
-				out[i].About = about
-			}
-			changed = true
-		case i >= 0 && out[i].About == (About{}) && c.About != (About{}):
-			// It was entered by a process that has not seen the request.
-			out[i].About, changed = c.About, true
+// addCrash adds one to the crashes; false if it is known, or the case has all that it keeps.
+func (c *Record) addCrash(crash Crash) bool {
+	i, known := c.findCrash(crash.Incarnation)
+	if known {
+		c.Crashes[i].Seen = earlier(c.Crashes[i].Seen, crash.Seen)
+		return false
+	}
+	crashes := slices.Insert(c.Crashes, i, crash)
+	if len(crashes) > maxCrashes {
+		// Which ones are kept must not depend on their order of arrival.
+		if i == maxCrashes {
+			return false
 		}
+		crashes = crashes[:maxCrashes]
+	}
+	c.Crashes = crashes
+	return true
+}
+
+func earlier(a, b time.Time) time.Time {
+	if b.Before(a) {
+		return b
 	}
-	return out, changed
+	return a
 }
--- /dev/null
+++ b/internal/coordination/quarantine/store.go
@@ -0,0 +1,162 @@
+package quarantine
+
+import (
+	"context"
+	"encoding/json"
+	"slices"
+	"time"
+
+	"github.com/juju/errors"
+
+	"limpetwall/internal/state/fingerprint"
+	"limpetwall/internal/transport/objectapi"
+)
+
+// recordKey is the object that holds the quarantines. It is one for all: a process reads it with one call at its
+// start, and two that change it at once are told so by its version.
+const recordKey = "quarantine"
+
+// maxEntries bounds the record, at about 400 bytes each, within what an object may hold.
+const maxEntries = 1024
+
+// Entry is a quarantine as the platform's store keeps it.
+type Entry struct {
+	Fingerprint fingerprint.Key `json:"fingerprint"`
+	Round       uint32          `json:"round"`
+	// Level counts quarantines in a row; 0: it was lifted.
+	Level uint32 `json:"level"`
+	// EndsMS is the quarantine's end; of a lifted one, when the entry may go. Unix ms.
+	EndsMS int64 `json:"ends_ms"`
+	// Crashes that the request was blamed for.
+	Crashes int `json:"crashes,omitempty"`
+	RequestInfo
+}
+
+type record struct {
+	Entries []Entry `json:"entries"`
+}
+
+// ReadEntries returns the quarantines in force that a store holds, for operators.
+func ReadEntries(ctx context.Context, store objectapi.API) ([]Entry, error) {
+	entries, _, err := readRecord(ctx, store)
+	if err != nil {
+		return nil, err
+	}
+	now, out := time.Now(), []Entry{}
+	for _, e := range entries {
+		if e.Level > 0 && !e.isOver(now) {
+			out = append(out, e)
+		}
+	}
+	return out, nil
+}
+
+// ErrNotQuarantined tells that a request to be freed is in no quarantine.
+const ErrNotQuarantined = errors.ConstError("no such quarantine")
+
+// LiftEntry ends a quarantine in the store; the processes hear of it there.
+func LiftEntry(ctx context.Context, store objectapi.API, key fingerprint.Key) error {
+	for range maxConflicts {
+		entries, version, err := readRecord(ctx, store)
+		if err != nil {
+			return err
+		}
+		i := slices.IndexFunc(entries, func(e Entry) bool { return e.Fingerprint == key && e.Level > 0 })
+		if i < 0 {
+			return ErrNotQuarantined
+		}
+		entries[i].Round++
+		entries[i].Level, entries[i].EndsMS = 0, time.Now().Add(maxQuarantine).UnixMilli()
+		if err = writeRecord(ctx, store, entries, version); !errors.Is(err, objectapi.ErrConflict) {
+			return err
+		}
+	}
+	return objectapi.ErrConflict
+}
+
+// readRecord returns the entries and the version of the record, none and 0 before there is one.
+func readRecord(ctx context.Context, store objectapi.API) ([]Entry, int64, error) {
+	o, err := store.Get(ctx, recordKey)
+	if errors.Is(err, objectapi.ErrNotFound) {
+		return nil, 0, nil
+	}
+	if err != nil {
+		return nil, 0, errors.Trace(err)
+	}
+	var r record
+	if err := json.Unmarshal(o.Value, &r); err != nil {
+		return nil, o.Version, errors.WithType(err, errRecord)
+	}
+	return r.Entries, o.Version, nil
+}
+
+// errRecord tells that the record's bytes aren't what these processes write.
+const errRecord = errors.ConstError("record of quarantines does not decode")
+
+func writeRecord(ctx context.Context, store objectapi.API, entries []Entry, version int64) error {
+	data, err := json.Marshal(record{entries})
+	if err != nil {
+		return errors.Trace(err)
+	}
+	_, err = store.Put(ctx, recordKey, data, version)
+	return errors.Trace(err)
+}
+
+// toCase translates an entry's end from the time of day to this process's clock.
+func (e Entry) toCase(now, timeOfDay time.Time) Record {
+	c := Record{Key: e.Fingerprint, Round: e.Round, Level: e.Level, About: e.RequestInfo, Lifted: e.Level == 0}
+	if e.Level > 0 {
+		c.Until = now.Add(time.UnixMilli(e.EndsMS).Sub(timeOfDay))
+	}
+	return c
+}
+
+func entryOf(c Record, now, timeOfDay time.Time) Entry {
+	ends := c.Until
+	if c.Level == 0 {
+		ends = c.expires()
+	}
+	return Entry{
+		Fingerprint: c.Key, Round: c.Round, Level: c.Level, Crashes: len(c.Crashes), RequestInfo: c.About,
+		EndsMS: timeOfDay.Add(ends.Sub(now)).UnixMilli(),
+	}
+}
+
+// isNewer tells whether a process knows more of a request than an entry says.
+func (c *Record) isNewer(e Entry) bool {
+	return c.Round > e.Round || (c.Round == e.Round && c.Level > e.Level)
+}
+
+// isOver tells that an entry serves nobody any more.
+func (e Entry) isOver(timeOfDay time.Time) bool {
+	end := time.UnixMilli(e.EndsMS)
+	if e.Level > 0 {
+		end = end.Add(maxQuarantine)
+	}
+	return timeOfDay.After(end)
+}
+
+// update brings entries up to what cases say; false if they say it already.
+func update(entries []Entry, cases []Record, now, timeOfDay time.Time) ([]Entry, bool) {
+	out := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.isOver(timeOfDay) })
+	changed := false
+	for _, c := range cases {
+		i := slices.IndexFunc(out, func(e Entry) bool { return e.Fingerprint == c.Key })
+		switch {
+		case i < 0 && len(out) < maxEntries:
+			out = append(out, entryOf(c, now, timeOfDay))
+			changed = true
+		case i >= 0 && c.isNewer(out[i]):
+			about := out[i].RequestInfo
+			out[i] = entryOf(c, now, timeOfDay)
+			if c.About == (RequestInfo{}) {
+				out[i].RequestInfo = about
+			}
+			changed = true
+		case i >= 0 && out[i].RequestInfo == (RequestInfo{}) && c.About != (RequestInfo{}):
+			// It was entered by a process that has not seen the request.
+			out[i].RequestInfo, changed = c.About, true
+		}
+	}
+	return out, changed
+}
--- a/internal/coordination/quarantine/book.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -16,13 +16,13 @@
 // maxCases bounds the book to about 1 MB.
 const maxCases = 4096
 
-// Book is what a process knows of the requests that were at crashes. Safe for concurrent use.
-type Book struct {
+// Tracker is what a process knows of the requests that were at crashes. Safe for concurrent use.
+type Tracker struct {
 	// size is the number of cases, for the many requests that come while there are none.
 	size atomic.Int64
 
 	mu    sync.Mutex
-	cases map[fingerprint.Key]*Case
+	cases map[fingerprint.Key]*Record
 	// crashes by the incarnation that crashed.
 	crashes map[uint64]*crash
 	// rumours counts how often a change is still passed on.
@@ -40,24 +40,24 @@
 	present []fingerprint.Key
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{
-		cases: map[fingerprint.Key]*Case{}, crashes: map[uint64]*crash{}, rumours: map[fingerprint.Key]int{},
+// NewTracker returns an empty book.
+func NewTracker() *Tracker {
+	return &Tracker{
+		cases: map[fingerprint.Key]*Record{}, crashes: map[uint64]*crash{}, rumours: map[fingerprint.Key]int{},
 		onBlame: func(fingerprint.Key) {}, news: make(chan struct{}, 1),
 	}
 }
 
 // IsEmpty tells that no request is known to the book.
-func (b *Book) IsEmpty() bool { return b.size.Load() == 0 }
+func (b *Tracker) IsEmpty() bool { return b.size.Load() == 0 }
 
-// News receives when there is something to pass on.
-func (b *Book) News() <-chan struct{} { return b.news }
+// UrgentPending receives when there is something to pass on.
+func (b *Tracker) UrgentPending() <-chan struct{} { return b.news }
 
-// Crashed records that a request was underway at an endpoint's incarnation when that crashed.
-func (b *Book) Crashed(key fingerprint.Key, incarnation uint64, about About, now time.Time) {
+// RecordCrash records that a request was underway at an endpoint's incarnation when that crashed.
+func (b *Tracker) RecordCrash(key fingerprint.Key, incarnation uint64, about RequestInfo, now time.Time) {
 	about.Target = about.Target[:min(len(about.Target), maxTarget)]
-	crashed := Case{Key: key, Crashes: []Crash{{incarnation, now}}, About: about}
+	crashed := Record{Key: key, Crashes: []Crash{{incarnation, now}}, About: about}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if c := b.cases[key]; c != nil {
@@ -66,9 +66,9 @@
 	b.merge(crashed, now)
 }
 
-// Survived records that an endpoint ran a request to its end. It is not what crashes endpoints, or no more. True
+// RecordCompletion records that an endpoint ran a request to its end. It is not what crashes endpoints, or no more. True
 // if a quarantine is lifted by it.
-func (b *Book) Survived(key fingerprint.Key, now time.Time) bool {
+func (b *Tracker) RecordCompletion(key fingerprint.Key, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.cases[key]
@@ -81,7 +81,7 @@
 }
 
 // Lift ends a request's quarantine; false if it is in none.
-func (b *Book) Lift(key fingerprint.Key, now time.Time) bool {
+func (b *Tracker) Lift(key fingerprint.Key, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.cases[key]
@@ -93,14 +93,14 @@
 }
 
 // clear voids a case and has that passed on; b.mu is held.
-func (b *Book) clear(c *Case, now time.Time) {
+func (b *Tracker) clear(c *Record, now time.Time) {
 	b.unlink(c)
 	c.clear(now)
 	b.spread(c.Key)
 }
 
 // BeginTrial records the only run that a request gets when its quarantine is over.
-func (b *Book) BeginTrial(key fingerprint.Key, now time.Time) {
+func (b *Tracker) BeginTrial(key fingerprint.Key, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if c := b.cases[key]; c != nil {
@@ -110,21 +110,21 @@
 }
 
 // Merge takes in what another process or the store knows of a request; false if it is nothing new.
-func (b *Book) Merge(o Case, now time.Time) bool {
+func (b *Tracker) Merge(o Record, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.merge(o, now)
 }
 
 // merge is Merge while b.mu is held.
-func (b *Book) merge(o Case, now time.Time) bool {
+func (b *Tracker) merge(o Record, now time.Time) bool {
 	if saysNothing(o, now) {
 		return false
 	}
 	o.Until = clampUntil(o, now)
 	c := b.cases[o.Key]
 	if c == nil {
-		c = &Case{Key: o.Key, changed: now}
+		c = &Record{Key: o.Key, changed: now}
 		b.makeRoom()
 		b.cases[o.Key] = c
 		b.size.Store(int64(len(b.cases)))
@@ -141,21 +141,21 @@
 
 // OnBlame has a function called with each request that is found to be to blame, as often as its case changes then. The book
 // is locked meanwhile: the function must neither block nor use it.
-func (b *Book) OnBlame(blamed func(fingerprint.Key)) {
+func (b *Tracker) OnBlame(blamed func(fingerprint.Key)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.onBlame = blamed
 }
 
 // alert tells of a request if it is to blame.
-func (b *Book) alert(c *Case) {
+func (b *Tracker) alert(c *Record) {
 	if c.Level > 0 || b.isBlamed(c) {
 		b.onBlame(c.Key)
 	}
 }
 
 // saysNothing tells of a case that needs no place in a book.
-func saysNothing(o Case, now time.Time) bool {
+func saysNothing(o Record, now time.Time) bool {
 	if o.Level > 0 {
 		return !now.Before(o.expires())
 	}
@@ -163,7 +163,7 @@
 }
 
 // clampUntil keeps another's clock from making a quarantine longer than any is.
-func clampUntil(o Case, now time.Time) time.Time {
+func clampUntil(o Record, now time.Time) time.Time {
 	if o.Level == 0 {
 		return time.Time{}
 	}
@@ -173,7 +173,7 @@
 	return o.Until
 }
 
-func (b *Book) link(c *Case) {
+func (b *Tracker) link(c *Record) {
 	for _, one := range c.Crashes {
 		at := b.crashes[one.Incarnation]
 		if at == nil {
@@ -187,14 +187,14 @@
 	}
 }
 
-func (b *Book) unlink(c *Case) {
+func (b *Tracker) unlink(c *Record) {
 	for _, one := range c.Crashes {
 		at := b.crashes[one.Incarnation]
 		at.present = slices.DeleteFunc(at.present, func(k fingerprint.Key) bool { return k == c.Key })
 	}
 }
 
-func (b *Book) forget(c *Case) {
+func (b *Tracker) forget(c *Record) {
 	b.unlink(c)
 	delete(b.cases, c.Key)
 	delete(b.rumours, c.Key)
@@ -202,7 +202,7 @@
 }
 
 // makeRoom forgets an eighth of a full book: what was at fewest crashes and is known longest, quarantines last.
-func (b *Book) makeRoom() {
+func (b *Tracker) makeRoom() {
 	if len(b.cases) < maxCases {
 		return
 	}
@@ -213,19 +213,19 @@
 }
 
 // compareWeight orders cases by how much is lost with them.
-func compareWeight(a, b *Case) int {
+func compareWeight(a, b *Record) int {
 	return cmp.Or(cmp.Compare(a.Level, b.Level), cmp.Compare(len(a.Crashes), len(b.Crashes)), a.changed.Compare(b.changed))
 }
 
-// Settle puts requests into quarantine whose verdicts stand, and forgets what has expired.
-func (b *Book) Settle(now time.Time) {
+// Evaluate puts requests into quarantine whose verdicts stand, and forgets what has expired.
+func (b *Tracker) Evaluate(now time.Time) {
 	if b.IsEmpty() {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.forgetExpired(now)
-	var found []*Case
+	var found []*Record
 	for _, c := range b.cases {
 		if c.Level == 0 && now.Sub(c.changed) >= settleTime && b.isBlamed(c) {
 			found = append(found, c)
@@ -239,8 +239,8 @@
 	}
 }
 
-// Keep forgets what has expired until ctx ends, for a process that only passes cases on.
-func (b *Book) Keep(ctx context.Context, now func() time.Time) {
+// RunExpiry forgets what has expired until ctx ends, for a process that only passes cases on.
+func (b *Tracker) RunExpiry(ctx context.Context, now func() time.Time) {
 	for pause.For(ctx, settleEvery) {
 		b.mu.Lock()
 		b.forgetExpired(now())
@@ -249,7 +249,7 @@
 }
 
 // forgetExpired also drops crashes that no request was at any more. Until then they speak for who was not there.
-func (b *Book) forgetExpired(now time.Time) {
+func (b *Tracker) forgetExpired(now time.Time) {
 	for _, c := range b.cases {
 		if !now.Before(c.expires()) {
 			b.forget(c)
@@ -262,7 +262,7 @@
 	}
 }
 
-func (c *Case) copy() Case {
+func (c *Record) copy() Record {
 	out := *c
 	out.Crashes = slices.Clone(c.Crashes)
 	return out
--- a/internal/coordination/quarantine/book_test.go
+++ b/internal/coordination/quarantine/tracker_test.go
@@ -24,11 +24,11 @@
 }
 
 // at lists who was at each crash: crash 1, crash 2 and so on.
-func bookOf(crashes ...[]string) *Book {
-	b := NewBook()
+func bookOf(crashes ...[]string) *Tracker {
+	b := NewTracker()
 	for i, names := range crashes {
 		for _, name := range names {
-			b.Crashed(keyOf(name), uint64(i+1), About{Target: name}, start)
+			b.RecordCrash(keyOf(name), uint64(i+1), RequestInfo{Target: name}, start)
 		}
 	}
 	return b
@@ -59,7 +59,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			b := bookOf(row.crashes...)
 			if row.blamed != "" {
-				if v := b.Check(keyOf(row.blamed), start); v.Standing != Held {
+				if v := b.Check(keyOf(row.blamed), start); v.Standing != Pending {
 					t.Errorf("%s is not held: %+v", row.blamed, v)
 				}
 			}
@@ -68,7 +68,7 @@
 					t.Errorf("%s: %+v", other, v)
 				}
 			}
-			b.Settle(start.Add(settleTime))
+			b.Evaluate(start.Add(settleTime))
 			if row.blamed != "" {
 				v := b.Check(keyOf(row.blamed), start.Add(settleTime))
 				if v.Standing != Quarantined || v.After != firstQuarantine {
@@ -88,21 +88,21 @@
 // the culprit is known to be at a third crash before the culprit is.
 func TestVerdictWaitsForWordOfOthers(t *testing.T) {
 	b := bookOf([]string{"culprit", "beside"}, []string{"culprit", "beside"}, []string{"beside"})
-	if v := b.Check(keyOf("beside"), start); v.Standing != Held || v.After != heldPause {
+	if v := b.Check(keyOf("beside"), start); v.Standing != Pending || v.After != heldPause {
 		t.Errorf("%+v", v)
 	}
-	if b.Settle(start.Add(settleTime - 1)); len(b.Durable()) != 0 {
-		t.Errorf("%+v", b.Durable())
+	if b.Evaluate(start.Add(settleTime - 1)); len(b.DurableRecords()) != 0 {
+		t.Errorf("%+v", b.DurableRecords())
 	}
 	later := start.Add(settleTime - 1)
-	b.Crashed(keyOf("culprit"), 3, About{}, later)
-	if b.Settle(later.Add(settleTime)); len(b.Durable()) != 0 {
-		t.Errorf("%+v", b.Durable())
+	b.RecordCrash(keyOf("culprit"), 3, RequestInfo{}, later)
+	if b.Evaluate(later.Add(settleTime)); len(b.DurableRecords()) != 0 {
+		t.Errorf("%+v", b.DurableRecords())
 	}
 	later = later.Add(settleTime)
-	b.Crashed(keyOf("culprit"), 4, About{}, later)
-	b.Settle(later.Add(settleTime))
-	found := b.Durable()
+	b.RecordCrash(keyOf("culprit"), 4, RequestInfo{}, later)
+	b.Evaluate(later.Add(settleTime))
+	found := b.DurableRecords()
 	if len(found) != 1 || found[0].Key != keyOf("culprit") {
 		t.Errorf("%+v", found)
 	}
@@ -114,30 +114,30 @@
 // TestBlameIsTold guards against runs that go on when their request is to blame: by a crash seen here, by word of
 // another process, or when what hid it is cleared.
 func TestBlameIsTold(t *testing.T) {
-	third := func(b *Book) { b.Crashed(keyOf("a"), 3, About{}, start) }
+	third := func(b *Tracker) { b.RecordCrash(keyOf("a"), 3, RequestInfo{}, start) }
 	rows := []struct {
 		name    string
 		crashes [][]string
-		then    func(b *Book)
+		then    func(b *Tracker)
 		want    bool
 	}{
 		{"a third crash", [][]string{{"a"}, {"a"}}, third, true},
-		{"word of a third crash", [][]string{{"a"}, {"a"}}, func(b *Book) {
-			b.Merge(Case{Key: keyOf("a"), Crashes: crashesAt(start, 3)}, start)
+		{"word of a third crash", [][]string{{"a"}, {"a"}}, func(b *Tracker) {
+			b.Merge(Record{Key: keyOf("a"), Crashes: crashesAt(start, 3)}, start)
 		}, true},
-		{"word of a quarantine", [][]string{{"a"}}, func(b *Book) {
-			b.Merge(Case{Key: keyOf("a"), Level: 1, Until: start.Add(time.Minute)}, start)
+		{"word of a quarantine", [][]string{{"a"}}, func(b *Tracker) {
+			b.Merge(Record{Key: keyOf("a"), Level: 1, Until: start.Add(time.Minute)}, start)
 		}, true},
-		{"more crashes", [][]string{{"a"}, {"a"}}, func(b *Book) {
+		{"more crashes", [][]string{{"a"}, {"a"}}, func(b *Tracker) {
 			third(b)
-			b.Crashed(keyOf("a"), 4, About{}, start)
+			b.RecordCrash(keyOf("a"), 4, RequestInfo{}, start)
 		}, true},
-		{"another is cleared", [][]string{{"a", "b"}, {"a", "b"}, {"a", "b"}}, func(b *Book) {
-			b.Survived(keyOf("b"), start)
-			b.Settle(start.Add(settleTime))
+		{"another is cleared", [][]string{{"a", "b"}, {"a", "b"}, {"a", "b"}}, func(b *Tracker) {
+			b.RecordCompletion(keyOf("b"), start)
+			b.Evaluate(start.Add(settleTime))
 		}, true},
-		{"a second crash", [][]string{{"a"}}, func(b *Book) { b.Crashed(keyOf("a"), 2, About{}, start) }, false},
-		{"blame of another", [][]string{{"b"}, {"b"}}, func(b *Book) { b.Crashed(keyOf("b"), 3, About{}, start) }, false},
+		{"a second crash", [][]string{{"a"}}, func(b *Tracker) { b.RecordCrash(keyOf("a"), 2, RequestInfo{}, start) }, false},
+		{"blame of another", [][]string{{"b"}, {"b"}}, func(b *Tracker) { b.RecordCrash(keyOf("b"), 3, RequestInfo{}, start) }, false},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -156,10 +156,10 @@
 // quarantine began.
 func TestCrashesOfAQuarantinedRequest(t *testing.T) {
 	b := bookOf([]string{"culprit"}, []string{"culprit"}, []string{"culprit"})
-	b.Settle(start.Add(settleTime))
+	b.Evaluate(start.Add(settleTime))
 	for crash := uint64(4); crash < 9; crash++ {
-		b.Crashed(keyOf("culprit"), crash, About{}, start)
-		b.Crashed(keyOf("beside"), crash, About{}, start)
+		b.RecordCrash(keyOf("culprit"), crash, RequestInfo{}, start)
+		b.RecordCrash(keyOf("beside"), crash, RequestInfo{}, start)
 	}
 	if v := b.Check(keyOf("beside"), start); v.Standing != Clear {
 		t.Errorf("%+v", v)
@@ -169,15 +169,15 @@
 // TestWhoRunsToTheEndIsCleared guards against a request that comes often, and so was at many crashes, being refused
 // though endpoints run it.
 func TestWhoRunsToTheEndIsCleared(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for crash := uint64(1); crash < 20; crash++ {
-		b.Crashed(keyOf("often"), crash, About{}, start)
-		b.Survived(keyOf("often"), start)
+		b.RecordCrash(keyOf("often"), crash, RequestInfo{}, start)
+		b.RecordCompletion(keyOf("often"), start)
 		if v := b.Check(keyOf("often"), start); v.Standing != Clear {
 			t.Fatalf("after %d crashes: %+v", crash, v)
 		}
 	}
-	late := Case{Key: keyOf("often"), Round: 3, Crashes: crashesAt(start, 101, 102, 103, 104)}
+	late := Record{Key: keyOf("often"), Round: 3, Crashes: crashesAt(start, 101, 102, 103, 104)}
 	if b.Merge(late, start) {
 		t.Error("word of an earlier round counts")
 	}
@@ -188,7 +188,7 @@
 func TestQuarantineEndsWithATrial(t *testing.T) {
 	b := bookOf([]string{"a"}, []string{"a"}, []string{"a"})
 	now := start.Add(settleTime)
-	b.Settle(now)
+	b.Evaluate(now)
 	for level := uint32(1); level < 8; level++ {
 		want := min(maxQuarantine, firstQuarantine<<(level-1))
 		if v := b.Check(keyOf("a"), now.Add(want-1)); v.Standing != Quarantined {
@@ -203,7 +203,7 @@
 	if v := b.Check(keyOf("a"), now); v.Standing != Quarantined || v.After != maxQuarantine {
 		t.Errorf("during its trial: %+v", v)
 	}
-	if !b.Survived(keyOf("a"), now) {
+	if !b.RecordCompletion(keyOf("a"), now) {
 		t.Error("the quarantine is not lifted")
 	}
 	if v := b.Check(keyOf("a"), now); v.Standing != Clear {
@@ -214,15 +214,15 @@
 // TestExpiredCasesAreForgotten guards against a book that grows with all that ever was at a crash.
 func TestExpiredCasesAreForgotten(t *testing.T) {
 	b := bookOf([]string{"a", "b"}, []string{"a"})
-	b.Survived(keyOf("b"), start)
-	b.Settle(start.Add(clearedLasts))
+	b.RecordCompletion(keyOf("b"), start)
+	b.Evaluate(start.Add(clearedLasts))
 	if len(b.cases) != 1 {
 		t.Errorf("%d cases", len(b.cases))
 	}
 	if v := b.Check(keyOf("a"), start); v.Standing != Clear {
 		t.Errorf("%+v", v)
 	}
-	b.Settle(start.Add(evidenceLasts))
+	b.Evaluate(start.Add(evidenceLasts))
 	if !b.IsEmpty() || len(b.crashes) != 0 || len(b.rumours) != 0 {
 		t.Errorf("%d cases, %d crashes, %d rumours", len(b.cases), len(b.crashes), len(b.rumours))
 	}
@@ -232,11 +232,11 @@
 // at most crashes.
 func TestBookIsBounded(t *testing.T) {
 	b := bookOf([]string{"q"}, []string{"q"}, []string{"q"})
-	b.Settle(start.Add(settleTime))
-	b.Crashed(keyOf("twice"), 10, About{}, start)
-	b.Crashed(keyOf("twice"), 11, About{}, start)
+	b.Evaluate(start.Add(settleTime))
+	b.RecordCrash(keyOf("twice"), 10, RequestInfo{}, start)
+	b.RecordCrash(keyOf("twice"), 11, RequestInfo{}, start)
 	for i := range 3 * maxCases {
-		b.Crashed(keyOf(fmt.Sprint(i)), uint64(100+i%50), About{}, start)
+		b.RecordCrash(keyOf(fmt.Sprint(i)), uint64(100+i%50), RequestInfo{}, start)
 	}
 	if len(b.cases) > maxCases || len(b.rumours) > maxCases || int(b.size.Load()) != len(b.cases) {
 		t.Errorf("%d cases, %d rumours, size %d", len(b.cases), len(b.rumours), b.size.Load())
@@ -252,8 +252,8 @@
 // TestOrderOfWordDoesNotMatter merges the same reports in any order, with repeats: all processes come to the same cases.
 func TestOrderOfWordDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Case {
-			c := Case{
+		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Record {
+			c := Record{
 				Key: keyOf(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")), Round: rapid.Uint32Range(0, 2).Draw(t, "round"),
 				Level: rapid.Uint32Range(0, 2).Draw(t, "level"), Lifted: rapid.Bool().Draw(t, "lifted"),
 			}
@@ -266,7 +266,7 @@
 			}
 			return c
 		}), 1, 12).Draw(t, "reports")
-		one, other := NewBook(), NewBook()
+		one, other := NewTracker(), NewTracker()
 		for _, c := range reports {
 			one.Merge(c, start)
 		}
@@ -285,7 +285,7 @@
 		if one.Digest() != other.Digest() || len(one.cases) != len(other.cases) {
 			t.Fatal("digests differ")
 		}
-		for _, b := range []*Book{one, other} {
+		for _, b := range []*Tracker{one, other} {
 			checkIndex(t, b)
 		}
 	})
@@ -300,7 +300,7 @@
 }
 
 // checkIndex compares the lists of who was at each crash with the cases.
-func checkIndex(t *rapid.T, b *Book) {
+func checkIndex(t *rapid.T, b *Tracker) {
 	entries := 0
 	for incarnation, at := range b.crashes {
 		entries += len(at.present)
@@ -321,25 +321,25 @@
 // TestNewcomerWeighsAsTheOthers guards against a process that starts and lets a request crash endpoints which all others
 // refuse: it hears at once of all that crashed for other reasons before, and must not take that for crashes of now.
 func TestNewcomerWeighsAsTheOthers(t *testing.T) {
-	old, newcomer := bookOf([]string{"x"}, []string{"y"}, []string{"z"}), NewBook()
+	old, newcomer := bookOf([]string{"x"}, []string{"y"}, []string{"z"}), NewTracker()
 	now := start.Add(2 * background)
-	var told []Case
+	var told []Record
 	for _, c := range old.cases {
 		told = append(told, c.copy())
 	}
-	if err := newcomer.MergeWire(CasesToWire(told, now), now); err != nil || len(newcomer.crashes) != len(old.crashes) {
+	if err := newcomer.MergeWire(RecordsToWire(told, now), now); err != nil || len(newcomer.crashes) != len(old.crashes) {
 		t.Fatal(err)
 	}
 	for crash := range uint64(crashesToBlame) {
-		for name, b := range map[string]*Book{"old": old, "new": newcomer} {
+		for name, b := range map[string]*Tracker{"old": old, "new": newcomer} {
 			if v := b.Check(keyOf("a"), now); v.Standing != Clear {
 				t.Errorf("%s process after %d crashes: %+v", name, crash, v)
 			}
-			b.Crashed(keyOf("a"), 100+crash, About{}, now)
+			b.RecordCrash(keyOf("a"), 100+crash, RequestInfo{}, now)
 		}
 	}
-	for name, b := range map[string]*Book{"old": old, "new": newcomer} {
-		if v := b.Check(keyOf("a"), now); v.Standing != Held {
+	for name, b := range map[string]*Tracker{"old": old, "new": newcomer} {
+		if v := b.Check(keyOf("a"), now); v.Standing != Pending {
 			t.Errorf("%s process: %+v", name, v)
 		}
 	}
@@ -350,10 +350,10 @@
 func TestAgesOfCrashesTravel(t *testing.T) {
 	now := start.Add(time.Minute)
 	told := []*wire.QuarantineCase{
-		CasesToWire([]Case{{Key: keyOf("a"), Crashes: crashesAt(start, 1)}}, now)[0],
+		RecordsToWire([]Record{{Key: keyOf("a"), Crashes: crashesAt(start, 1)}}, now)[0],
 		{Fingerprint: make([]byte, fingerprint.Size), Crashes: []uint64{2, 3}, CrashAgesDs: []uint32{math.MaxUint32}},
 	}
-	b := NewBook()
+	b := NewTracker()
 	if err := b.MergeWire(told, now); err != nil {
 		t.Fatal(err)
 	}
@@ -369,13 +369,13 @@
 	for _, row := range []struct {
 		before time.Duration
 		want   Standing
-	}{{background, Clear}, {background + time.Second, Held}} {
-		b := NewBook()
+	}{{background, Clear}, {background + time.Second, Pending}} {
+		b := NewTracker()
 		for kill := range uint64(4) {
-			b.Crashed(keyOf(fmt.Sprint(kill)), 100+kill, About{}, start)
+			b.RecordCrash(keyOf(fmt.Sprint(kill)), 100+kill, RequestInfo{}, start)
 		}
 		for crash := range uint64(crashesToBlame) {
-			b.Crashed(keyOf("a"), crash, About{}, start.Add(row.before))
+			b.RecordCrash(keyOf("a"), crash, RequestInfo{}, start.Add(row.before))
 		}
 		if v := b.Check(keyOf("a"), start.Add(row.before)); v.Standing != row.want {
 			t.Errorf("%s after others: %+v", row.before, v)
@@ -434,7 +434,7 @@
 }
 
 type running struct {
-	Run
+	Attempt
 	tries int
 }
 
@@ -451,7 +451,7 @@
 
 func newDay(random *rand.Rand, killEvery time.Duration) *day {
 	d := &day{random: random, killEvery: killEvery, now: start}
-	d.guard = NewGuard(NewBook(), nil, zap.NewNop(), metrics.NewRegistry(), func() time.Time { return d.now })
+	d.guard = NewGuard(NewTracker(), nil, zap.NewNop(), metrics.NewRegistry(), func() time.Time { return d.now })
 	return d
 }
 
@@ -466,10 +466,10 @@
 		d.now = start.Add(time.Duration(step) * dayStep)
 		for range beginPerStep {
 			d.begun++
-			d.place(running{Run: Run{Key: keyOf(fmt.Sprint(d.begun))}})
+			d.place(running{Attempt: Attempt{Key: keyOf(fmt.Sprint(d.begun))}})
 		}
-		if withCulprit && step%2 == 0 && d.guard.Book.Check(culprit, d.now).Standing == Clear {
-			d.place(running{Run: Run{Key: culprit}})
+		if withCulprit && step%2 == 0 && d.guard.Quarantines.Check(culprit, d.now).Standing == Clear {
+			d.place(running{Attempt: Attempt{Key: culprit}})
 		}
 		killed := -1
 		if d.killEvery > 0 && time.Duration(step)*dayStep%d.killEvery < dayStep {
@@ -481,9 +481,9 @@
 				d.crash(e)
 			}
 		}
-		d.guard.Book.Settle(d.now)
+		d.guard.Quarantines.Evaluate(d.now)
 	}
-	for _, c := range d.guard.Book.Durable() {
+	for _, c := range d.guard.Quarantines.DurableRecords() {
 		if c.Key != culprit {
 			d.quarantined++
 		}
@@ -495,7 +495,7 @@
 	d.running[e] = slices.DeleteFunc(d.running[e], func(r running) bool {
 		done := d.now.Sub(r.Sent) >= doneAfter
 		if done {
-			d.guard.Survived(r.Key)
+			d.guard.RecordCompletion(r.Key)
 		}
 		return done
 	})
@@ -509,7 +509,7 @@
 		if output := r.Sent.Add(outputAfter); !output.After(d.now) && r.Key != culprit {
 			r.Output = output
 		}
-		d.guard.Blame(r.Run, d.incarnation, d.now)
+		d.guard.RecordCrash(r.Attempt, d.incarnation, d.now)
 	}
 	for _, r := range lost {
 		if r.Key == culprit {
@@ -520,7 +520,7 @@
 		if r.tries++; r.tries >= mostTries {
 			continue
 		}
-		if d.guard.Book.Check(r.Key, d.now).Standing != Clear {
+		if d.guard.Quarantines.Check(r.Key, d.now).Standing != Clear {
 			d.held++
 			continue
 		}
--- a/internal/coordination/quarantine/news.go
+++ b/internal/coordination/quarantine/updates.go
@@ -22,7 +22,7 @@
 )
 
 // spread has a change passed on; b.mu is held.
-func (b *Book) spread(key fingerprint.Key) {
+func (b *Tracker) spread(key fingerprint.Key) {
 	b.rumours[key] = rumourSends
 	if b.cases[key].isUrgent() {
 		b.announce()
@@ -31,10 +31,10 @@
 
 // isUrgent tells whether a change is told at once. One crash is held against all that ran there: told at once, they would
 // use up what a process may send when the next crash shows whose doing it is.
-func (c *Case) isUrgent() bool { return c.isDurable() || len(c.Crashes) > 1 }
+func (c *Record) isUrgent() bool { return c.isDurable() || len(c.Crashes) > 1 }
 
 // announce has News receive.
-func (b *Book) announce() {
+func (b *Tracker) announce() {
 	select {
 	case b.news <- struct{}{}:
 	default:
@@ -44,24 +44,24 @@
 // compareUrgency orders cases of one sort by which others are to hear of first. Of quarantines it is the one that began
 // last, whenever this process heard of it: while there are more than can be told, a new one would else wait behind
 // hundreds that most processes know.
-func compareUrgency(a, b *Case) int {
+func compareUrgency(a, b *Record) int {
 	return cmp.Or(b.began().Compare(a.began()), cmp.Compare(len(b.Crashes), len(a.Crashes)), b.changed.Compare(a.changed))
 }
 
-// TakeRumours returns changes that are to be passed on in a message of about so many bytes, at least one if there
+// PopUpdates returns changes that are to be passed on in a message of about so many bytes, at least one if there
 // are any; those that must be known first come first.
-func (b *Book) TakeRumours(bytes int, now time.Time) []Case {
+func (b *Tracker) PopUpdates(bytes int, now time.Time) []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out, _ := b.takeRumours(bytes, now, func(*Case, int) bool { return true })
+	out, _ := b.takeRumours(bytes, now, func(*Record, int) bool { return true })
 	return out
 }
 
-// TakeNews returns the urgent ones of them that have not been passed on once, if any.
-func (b *Book) TakeNews(bytes int, now time.Time) []Case {
+// PopUrgentUpdates returns the urgent ones of them that have not been passed on once, if any.
+func (b *Tracker) PopUrgentUpdates(bytes int, now time.Time) []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out, left := b.takeRumours(bytes, now, func(c *Case, sends int) bool {
+	out, left := b.takeRumours(bytes, now, func(c *Record, sends int) bool {
 		return sends == rumourSends && c.isUrgent()
 	})
 	if left {
@@ -71,7 +71,7 @@
 }
 
 // takeRumours returns those that are left to be sent as often as wanted, and whether there are more; b.mu is held.
-func (b *Book) takeRumours(bytes int, now time.Time, wanted func(c *Case, sends int) bool) (out []Case, left bool) {
+func (b *Tracker) takeRumours(bytes int, now time.Time, wanted func(c *Record, sends int) bool) (out []Record, left bool) {
 	for _, c := range b.rumoursByUrgency(now, wanted) {
 		if bytes -= c.wireBytes(); bytes < 0 && len(out) > 0 {
 			return out, true
@@ -86,8 +86,8 @@
 
 // rumoursByUrgency returns quarantines and suspects in turn: those of either could else keep a message full while a
 // process that alone knows of one of the others ends. b.mu is held.
-func (b *Book) rumoursByUrgency(now time.Time, wanted func(c *Case, sends int) bool) []*Case {
-	var quarantines, suspects []*Case
+func (b *Tracker) rumoursByUrgency(now time.Time, wanted func(c *Record, sends int) bool) []*Record {
+	var quarantines, suspects []*Record
 	for key, sends := range b.rumours {
 		switch c := b.cases[key]; {
 		case !wanted(c, sends):
@@ -102,29 +102,29 @@
 	slices.SortFunc(quarantines, compareUrgency)
 	slices.SortFunc(suspects, compareUrgency)
 	both := min(len(quarantines), len(suspects))
-	var out []*Case
+	var out []*Record
 	for i := range both {
 		out = append(out, quarantines[i], suspects[i])
 	}
 	return slices.Concat(out, quarantines[both:], suspects[both:])
 }
 
-// Durable returns the quarantines, and those lifted of late, by key.
-func (b *Book) Durable() []Case {
+// DurableRecords returns the quarantines, and those lifted of late, by key.
+func (b *Tracker) DurableRecords() []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []Case
+	var out []Record
 	for _, c := range b.cases {
 		if c.isDurable() {
 			out = append(out, c.copy())
 		}
 	}
-	slices.SortFunc(out, func(x, y Case) int { return slices.Compare(x.Key[:], y.Key[:]) })
+	slices.SortFunc(out, func(x, y Record) int { return slices.Compare(x.Key[:], y.Key[:]) })
 	return out
 }
 
-// Draw returns at most so many of the cases, in any order: what one message leaves out, others bring.
-func Draw(cases []Case, most int) []Case {
+// Sample returns at most so many of the cases, in any order: what one message leaves out, others bring.
+func Sample(cases []Record, most int) []Record {
 	rand.Shuffle(len(cases), func(i, j int) { cases[i], cases[j] = cases[j], cases[i] })
 	return cases[:min(len(cases), most)]
 }
@@ -133,11 +133,11 @@
 // begin alike: two books that differ little find where.
 type Digests [16]uint32
 
-// PartOf is the part of a digest that a fingerprint belongs to.
-func PartOf(key fingerprint.Key) int { return int(key[0] >> 4) }
+// BucketOf is the part of a digest that a fingerprint belongs to.
+func BucketOf(key fingerprint.Key) int { return int(key[0] >> 4) }
 
 // Digests returns the book's.
-func (b *Book) Digests() Digests {
+func (b *Tracker) Digests() Digests {
 	var out Digests
 	if b.IsEmpty() {
 		return out
@@ -147,14 +147,14 @@
 	for _, c := range b.cases {
 		if c.isDurable() {
 			text := binary.BigEndian.AppendUint32(c.Key[:], c.Round)
-			out[PartOf(c.Key)] ^= uint32(xxhash.Sum64(binary.BigEndian.AppendUint32(text, c.Level)))
+			out[BucketOf(c.Key)] ^= uint32(xxhash.Sum64(binary.BigEndian.AppendUint32(text, c.Level)))
 		}
 	}
 	return out
 }
 
 // Digest is the same for two books with the same quarantines.
-func (b *Book) Digest() uint64 {
+func (b *Tracker) Digest() uint64 {
 	var text []byte
 	digests := b.Digests()
 	if digests == (Digests{}) {
--- a/internal/coordination/quarantine/wire.go
+++ b/internal/coordination/quarantine/wire.go
@@ -15,8 +15,8 @@
 // errCase tells that a message does not say what a case says.
 const errCase = errors.ConstError("not a case of a quarantine")
 
-// CasesToWire converts cases for their transport. Clocks differ, so that what is left of a quarantine travels.
-func CasesToWire(cases []Case, now time.Time) []*wire.QuarantineCase {
+// RecordsToWire converts cases for their transport. Clocks differ, so that what is left of a quarantine travels.
+func RecordsToWire(cases []Record, now time.Time) []*wire.QuarantineCase {
 	out := make([]*wire.QuarantineCase, 0, len(cases))
 	for i := range cases {
 		out = append(out, cases[i].toWire(now))
@@ -24,7 +24,7 @@
 	return out
 }
 
-func (c *Case) toWire(now time.Time) *wire.QuarantineCase {
+func (c *Record) toWire(now time.Time) *wire.QuarantineCase {
 	w := &wire.QuarantineCase{Fingerprint: c.Key[:], Round: c.Round, Level: c.Level, Lifted: c.Lifted}
 	for _, crash := range c.Crashes {
 		w.Crashes = append(w.Crashes, crash.Incarnation)
@@ -37,19 +37,19 @@
 }
 
 // wireBytes is about what a case takes of a message.
-func (c *Case) wireBytes() int {
+func (c *Record) wireBytes() int {
 	const fixed, eachCrash = 32, 10
 	return fixed + eachCrash*len(c.Crashes)
 }
 
-func caseFromWire(w *wire.QuarantineCase, now time.Time) (Case, error) {
+func caseFromWire(w *wire.QuarantineCase, now time.Time) (Record, error) {
 	if len(w.GetFingerprint()) != fingerprint.Size {
-		return Case{}, errors.Annotatef(errCase, "fingerprint of %d bytes", len(w.GetFingerprint()))
+		return Record{}, errors.Annotatef(errCase, "fingerprint of %d bytes", len(w.GetFingerprint()))
 	}
 	if len(w.GetCrashes()) > maxCrashes {
-		return Case{}, errors.Annotatef(errCase, "%d crashes", len(w.GetCrashes()))
+		return Record{}, errors.Annotatef(errCase, "%d crashes", len(w.GetCrashes()))
 	}
-	c := Case{Key: fingerprint.Key(w.GetFingerprint()), Round: w.GetRound(), Level: w.GetLevel(), Lifted: w.GetLifted()}
+	c := Record{Key: fingerprint.Key(w.GetFingerprint()), Round: w.GetRound(), Level: w.GetLevel(), Lifted: w.GetLifted()}
 	ages := w.GetCrashAgesDs()
 	for i, incarnation := range w.GetCrashes() {
 		crash := Crash{incarnation, now}
@@ -65,7 +65,7 @@
 }
 
 // MergeWire takes in what a peer told; the error names the first case that can't be read, and does not keep the others out.
-func (b *Book) MergeWire(cases []*wire.QuarantineCase, now time.Time) error {
+func (b *Tracker) MergeWire(cases []*wire.QuarantineCase, now time.Time) error {
 	var err error
 	for i, w := range cases {
 		c, bad := caseFromWire(w, now)
--- a/internal/coordination/quarantineshare/sharer.go
+++ b/internal/coordination/quarantinegossip/exchanger.go
@@ -1,4 +1,4 @@
-package quarantineshare
+package quarantinegossip
 
 import (
 	"context"
@@ -49,19 +49,19 @@
 	stepLast
 )
 
-// Sharer exchanges cases with other processes. Its fields are set before Run.
-type Sharer struct {
+// Exchanger exchanges cases with other processes. Its fields are set before Run.
+type Exchanger struct {
 	Group *datagram.Group
 	// Hosts lists the other processes, of all failure domains: callers turn to any.
-	Hosts func() []netip.Addr
-	Book  *quarantine.Book
+	Hosts       func() []netip.Addr
+	Quarantines *quarantine.Tracker
 	// Now is the clock of the book.
 	Now func() time.Time
 	Log *zap.Logger
 }
 
 // Run exchanges cases until ctx ends.
-func (s *Sharer) Run(ctx context.Context) {
+func (s *Exchanger) Run(ctx context.Context) {
 	var duties sync.WaitGroup
 	duties.Go(func() { s.Group.Receive(ctx, s.take) })
 	duties.Go(func() { s.spreadNews(ctx) })
@@ -79,18 +79,18 @@
 }
 
 // spreadNews passes news on, the first time at once.
-func (s *Sharer) spreadNews(ctx context.Context) {
+func (s *Exchanger) spreadNews(ctx context.Context) {
 	atOnce := rate.NewLimiter(newsRate, newsBurst)
 	repeat := time.NewTicker(rumourEvery)
 	defer repeat.Stop()
 	for {
 		select {
-		case <-s.Book.News():
+		case <-s.Quarantines.UrgentPending():
 			if atOnce.Tokens() > 0 {
-				atOnce.ReserveN(time.Now(), min(s.tell(s.Book.TakeNews), newsBurst))
+				atOnce.ReserveN(time.Now(), min(s.tell(s.Quarantines.PopUrgentUpdates), newsBurst))
 			}
 		case <-repeat.C:
-			s.tell(s.Book.TakeRumours)
+			s.tell(s.Quarantines.PopUpdates)
 		case <-ctx.Done():
 			return
 		}
@@ -98,7 +98,7 @@
 }
 
 // tell sends a message of news and returns how many bytes that took. What nobody hears is not taken from the book.
-func (s *Sharer) tell(take func(bytes int, now time.Time) []quarantine.Case) int {
+func (s *Exchanger) tell(take func(bytes int, now time.Time) []quarantine.Record) int {
 	hosts := s.Hosts()
 	if len(hosts) == 0 {
 		return 0
@@ -112,18 +112,18 @@
 		hosts = hosts[:fanout]
 	}
 	// The digest is left out: news alone are no comparison.
-	return s.send(&wire.QuarantineReport{Step: stepLast, Cases: quarantine.CasesToWire(cases, s.Now())}, hosts)
+	return s.send(&wire.QuarantineReport{Step: stepLast, Cases: quarantine.RecordsToWire(cases, s.Now())}, hosts)
 }
 
-func (s *Sharer) compare() {
+func (s *Exchanger) compare() {
 	hosts := s.Hosts()
 	if len(hosts) > 0 {
-		s.send(&wire.QuarantineReport{Digests: toWire(s.Book.Digests()), Step: stepBegin}, []netip.Addr{hosts[rand.IntN(len(hosts))]})
+		s.send(&wire.QuarantineReport{Digests: toWire(s.Quarantines.Digests()), Step: stepBegin}, []netip.Addr{hosts[rand.IntN(len(hosts))]})
 	}
 }
 
 // send returns how many bytes it sent.
-func (s *Sharer) send(r *wire.QuarantineReport, hosts []netip.Addr) int {
+func (s *Exchanger) send(r *wire.QuarantineReport, hosts []netip.Addr) int {
 	data, err := proto.Marshal(r)
 	if err != nil || len(data) > datagram.MaxSize {
 		s.Log.Error("quarantine report", zap.Int("bytes", len(data)), zap.Error(err))
@@ -135,17 +135,17 @@
 }
 
 // take takes in a report. A comparison that finds a difference has both sides send what they hold.
-func (s *Sharer) take(data []byte, from net.Addr) {
+func (s *Exchanger) take(data []byte, from net.Addr) {
 	var r wire.QuarantineReport
 	err := proto.Unmarshal(data, &r)
 	if err == nil {
-		err = s.Book.MergeWire(r.GetCases(), s.Now())
+		err = s.Quarantines.MergeWire(r.GetCases(), s.Now())
 	}
 	if err != nil {
 		s.Log.Warn("quarantine report does not decode", zap.Stringer("from", from), zap.Error(errors.Trace(err)))
 		return
 	}
-	own, other := s.Book.Digests(), fromWire(r.GetDigests())
+	own, other := s.Quarantines.Digests(), fromWire(r.GetDigests())
 	if r.GetStep() >= stepLast || own == other {
 		return
 	}
@@ -153,7 +153,7 @@
 	if !ok {
 		return
 	}
-	cases := quarantine.CasesToWire(s.someDurable(own, other), s.Now())
+	cases := quarantine.RecordsToWire(s.someDurable(own, other), s.Now())
 	answer := &wire.QuarantineReport{Digests: toWire(own), Step: r.GetStep() + 1, Cases: cases}
 	s.send(answer, []netip.Addr{udp.AddrPort().Addr().Unmap()})
 }
@@ -174,10 +174,10 @@
 
 // someDurable draws as many quarantines as fit an answer, of those parts in which two books differ; the next comparison
 // brings others.
-func (s *Sharer) someDurable(own, other quarantine.Digests) []quarantine.Case {
-	cases := slices.DeleteFunc(s.Book.Durable(), func(c quarantine.Case) bool {
-		part := quarantine.PartOf(c.Key)
+func (s *Exchanger) someDurable(own, other quarantine.Digests) []quarantine.Record {
+	cases := slices.DeleteFunc(s.Quarantines.DurableRecords(), func(c quarantine.Record) bool {
+		part := quarantine.BucketOf(c.Key)
 		return own[part] == other[part]
 	})
-	return quarantine.Draw(cases, casesPerAnswer)
+	return quarantine.Sample(cases, casesPerAnswer)
 }
--- a/internal/coordination/quarantineshare/sharer_test.go
+++ b/internal/coordination/quarantinegossip/exchanger_test.go
@@ -1,4 +1,4 @@
-package quarantineshare
+package quarantinegossip
 
 import (
 	"context"
@@ -40,7 +40,7 @@
 // fleet is a number of processes that know each other's hosts.
 type fleet struct {
 	network *datagramtest.Network
-	books   []*quarantine.Book
+	books   []*quarantine.Tracker
 	stop    []func()
 	hosts   []netip.Addr
 }
@@ -66,15 +66,15 @@
 
 // start gives a place its next process, which knows nothing.
 func (f *fleet) start(t *testing.T, n int) {
-	book := quarantine.NewBook()
+	book := quarantine.NewTracker()
 	var others []netip.Addr
 	for i, h := range f.hosts {
 		if i != n {
 			others = append(others, h)
 		}
 	}
-	s := &Sharer{
-		Group: &datagram.Group{Conn: f.network.Open(f.address(n)), Port: port}, Book: book, Now: time.Now, Log: zap.NewNop(),
+	s := &Exchanger{
+		Group: &datagram.Group{Conn: f.network.Open(f.address(n)), Port: port}, Quarantines: book, Now: time.Now, Log: zap.NewNop(),
 		Hosts: func() []netip.Addr { return append([]netip.Addr(nil), others...) },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -94,9 +94,9 @@
 
 // settle has verdicts stand in time, as the guard does: a process that has only heard of the evidence would else date a
 // quarantine by the next one that the test begins there.
-func settle(ctx context.Context, book *quarantine.Book) {
+func settle(ctx context.Context, book *quarantine.Tracker) {
 	for pause.For(ctx, 250*time.Millisecond) {
-		book.Settle(time.Now())
+		book.Evaluate(time.Now())
 	}
 }
 
@@ -119,10 +119,10 @@
 func (f *fleet) quarantine(n int, keys ...fingerprint.Key) {
 	for _, key := range keys {
 		for crash := range uint64(5) {
-			f.books[n].Crashed(key, binary.BigEndian.Uint64(key[:])+crash, quarantine.About{}, time.Now())
+			f.books[n].RecordCrash(key, binary.BigEndian.Uint64(key[:])+crash, quarantine.RequestInfo{}, time.Now())
 		}
 	}
-	f.books[n].Settle(time.Now().Add(settled))
+	f.books[n].Evaluate(time.Now().Add(settled))
 }
 
 // ignorant counts the processes that would run a request.
@@ -148,7 +148,7 @@
 				time.Sleep(time.Minute)
 				f.network.Sent()
 				for crash := range uint64(3) {
-					f.books[int(crash)%size].Crashed(keyOf(1), crash, quarantine.About{}, time.Now())
+					f.books[int(crash)%size].RecordCrash(keyOf(1), crash, quarantine.RequestInfo{}, time.Now())
 				}
 				time.Sleep(inTime)
 				if n := f.ignorant(keyOf(1)); n > 0 {
@@ -196,7 +196,7 @@
 		f := newFleet(t, 5)
 		time.Sleep(time.Minute)
 		for crash := range uint64(3) {
-			f.books[0].Crashed(keyOf(1), crash, quarantine.About{}, time.Now())
+			f.books[0].RecordCrash(keyOf(1), crash, quarantine.RequestInfo{}, time.Now())
 			time.Sleep(20 * time.Millisecond)
 		}
 		f.kill(0)
@@ -215,11 +215,11 @@
 		time.Sleep(time.Minute)
 		f.quarantine(0, keyOf(101), keyOf(102), keyOf(103), keyOf(104), keyOf(105), keyOf(106))
 		for crash := range uint64(2) {
-			f.books[0].Crashed(keyOf(1), crash, quarantine.About{}, time.Now())
+			f.books[0].RecordCrash(keyOf(1), crash, quarantine.RequestInfo{}, time.Now())
 		}
 		time.Sleep(time.Second)
 		f.kill(0)
-		f.books[2].Crashed(keyOf(1), 2, quarantine.About{}, time.Now())
+		f.books[2].RecordCrash(keyOf(1), 2, quarantine.RequestInfo{}, time.Now())
 		time.Sleep(time.Second)
 		if n := f.ignorant(keyOf(1)); n > 0 {
 			t.Errorf("%d of the other processes would run the request", n)
@@ -239,13 +239,13 @@
 			// The first of its crashes ended runs of all processes.
 			for n, b := range f.books {
 				for run := range 4 {
-					b.Crashed(keyOf(1000+100*i+10*n+run), binary.BigEndian.Uint64(culprit[:]), quarantine.About{}, time.Now())
+					b.RecordCrash(keyOf(1000+100*i+10*n+run), binary.BigEndian.Uint64(culprit[:]), quarantine.RequestInfo{}, time.Now())
 				}
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
 		for crash := range uint64(3) {
-			f.books[0].Crashed(keyOf(1), 1000+crash, quarantine.About{}, time.Now())
+			f.books[0].RecordCrash(keyOf(1), 1000+crash, quarantine.RequestInfo{}, time.Now())
 			time.Sleep(10 * time.Millisecond)
 		}
 		if n := f.ignorant(keyOf(1)); n > 0 {
@@ -257,15 +257,15 @@
 
 // TestEvidenceWaitsForPeers guards against evidence that counts as told while a process knows no other.
 func TestEvidenceWaitsForPeers(t *testing.T) {
-	s := &Sharer{Book: quarantine.NewBook(), Now: time.Now, Log: zap.NewNop(), Hosts: func() []netip.Addr { return nil }}
-	s.Book.Crashed(keyOf(1), 1, quarantine.About{}, time.Now())
-	s.Book.Crashed(keyOf(1), 2, quarantine.About{}, time.Now())
+	s := &Exchanger{Quarantines: quarantine.NewTracker(), Now: time.Now, Log: zap.NewNop(), Hosts: func() []netip.Addr { return nil }}
+	s.Quarantines.RecordCrash(keyOf(1), 1, quarantine.RequestInfo{}, time.Now())
+	s.Quarantines.RecordCrash(keyOf(1), 2, quarantine.RequestInfo{}, time.Now())
 	for range 100 {
-		if s.tell(s.Book.TakeNews) != 0 || s.tell(s.Book.TakeRumours) != 0 {
+		if s.tell(s.Quarantines.PopUrgentUpdates) != 0 || s.tell(s.Quarantines.PopUpdates) != 0 {
 			t.Fatal("told nobody")
 		}
 	}
-	if cases := s.Book.TakeNews(roundBytes, time.Now()); len(cases) != 1 {
+	if cases := s.Quarantines.PopUrgentUpdates(roundBytes, time.Now()); len(cases) != 1 {
 		t.Errorf("%d cases are left to be told", len(cases))
 	}
 }
@@ -302,7 +302,7 @@
 		}
 		f.quarantine(0, many...)
 		for i := range 3000 {
-			f.books[i%size].Crashed(keyOf(1000+i), uint64(1_000_000+i%10), quarantine.About{}, time.Now())
+			f.books[i%size].RecordCrash(keyOf(1000+i), uint64(1_000_000+i%10), quarantine.RequestInfo{}, time.Now())
 		}
 		f.network.Sent()
 		time.Sleep(inTime)
@@ -331,7 +331,7 @@
 		const size = 16
 		f := newFleet(t, size)
 		for i := range 3000 {
-			f.books[i%size].Crashed(keyOf(i), uint64(i%10), quarantine.About{}, time.Now())
+			f.books[i%size].RecordCrash(keyOf(i), uint64(i%10), quarantine.RequestInfo{}, time.Now())
 		}
 		time.Sleep(time.Minute)
 		f.network.Sent()
@@ -364,15 +364,15 @@
 		"too many crashes":    {Fingerprint: make([]byte, fingerprint.Size), Crashes: make([]uint64, 100)},
 	}
 	for name, bad := range rows {
-		book := quarantine.NewBook()
-		s := &Sharer{Book: book, Now: time.Now, Log: zap.NewNop()}
+		book := quarantine.NewTracker()
+		s := &Exchanger{Quarantines: book, Now: time.Now, Log: zap.NewNop()}
 		data, err := proto.Marshal(&wire.QuarantineReport{Step: stepLast, Cases: []*wire.QuarantineCase{bad, sound}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.take(data, &net.UDPAddr{})
 		s.take([]byte("\xff\xff"), &net.UDPAddr{})
-		if got := len(book.Durable()); got != 1 {
+		if got := len(book.DurableRecords()); got != 1 {
 			t.Errorf("%s: %d quarantines", name, got)
 		}
 	}
@@ -387,15 +387,15 @@
 	}
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		book := quarantine.NewBook()
-		s := &Sharer{Book: book, Now: time.Now, Log: zap.NewNop()}
+		book := quarantine.NewTracker()
+		s := &Exchanger{Quarantines: book, Now: time.Now, Log: zap.NewNop()}
 		s.take(data, &net.TCPAddr{})
 		now := time.Now()
-		for _, c := range book.Durable() {
+		for _, c := range book.DurableRecords() {
 			if c.Level > 0 && c.Until.After(now.Add(2*time.Hour)) {
 				t.Errorf("a quarantine until %s", c.Until)
 			}
 		}
-		book.Settle(now)
+		book.Evaluate(now)
 	})
 }
--- a/internal/coordination/runs/crash.go
+++ b/internal/coordination/runs/crash.go
@@ -15,8 +15,8 @@
 }
 
 // about describes the request to operators.
-func (j *Job) about() quarantine.About {
-	about := quarantine.About{Service: j.Service.ID, Customer: j.Customer.ID, Method: "prompt"}
+func (j *Job) about() quarantine.RequestInfo {
+	about := quarantine.RequestInfo{Service: j.Service.ID, Customer: j.Customer.ID, Method: "prompt"}
 	if j.Plain != nil {
 		about.Method, about.Target = j.Plain.GetMethod(), j.Plain.GetPath()
 	}
@@ -41,9 +41,9 @@
 	switch {
 	case r.Guard == nil:
 	case out.crashedIncarnation != 0:
-		run := quarantine.Run{Key: a.job.fingerprint(), About: a.job.about(), Sent: sent, Output: a.outputAt}
-		r.Guard.Blame(run, out.crashedIncarnation, time.Now())
+		run := quarantine.Attempt{Key: a.job.fingerprint(), About: a.job.about(), Sent: sent, Output: a.outputAt}
+		r.Guard.RecordCrash(run, out.crashedIncarnation, time.Now())
 	case out.done && !r.Guard.IsIdle():
-		r.Guard.Survived(a.job.fingerprint())
+		r.Guard.RecordCompletion(a.job.fingerprint())
 	}
 }
--- a/internal/coordination/runs/crash_test.go
+++ b/internal/coordination/runs/crash_test.go
@@ -22,7 +22,7 @@
 }
 
 func withGuard(r *Runner) *Runner {
-	r.Guard = quarantine.NewGuard(quarantine.NewBook(), standin.New(), zap.NewNop(), metrics.NewRegistry(), time.Now)
+	r.Guard = quarantine.NewGuard(quarantine.NewTracker(), standin.New(), zap.NewNop(), metrics.NewRegistry(), time.Now)
 	return r
 }
 
@@ -87,7 +87,7 @@
 	if r.newHedge(rd, first) == nil {
 		t.Fatal("got no second attempt of a request that is no suspect")
 	}
-	r.Guard.Blame(quarantine.Run{Key: job.fingerprint(), Sent: time.Now().Add(-time.Second)}, 1, time.Now())
+	r.Guard.RecordCrash(quarantine.Attempt{Key: job.fingerprint(), Sent: time.Now().Add(-time.Second)}, 1, time.Now())
 	if r.newHedge(rd, first) != nil {
 		t.Error("got a second attempt of a suspect")
 	}
--- a/internal/coordination/runs/runs.go
+++ b/internal/coordination/runs/runs.go
@@ -178,7 +178,7 @@
 		if out.clientGone || (out.ran != wire.Ran_RAN_NO && (p.bodyBytes > 0 || !job.canRepeat())) {
 			return Result{}, last.retryLaterError(p, "")
 		}
-		if out.crashedIncarnation != 0 && r.Guard.Blocks(job.fingerprint()) {
+		if out.crashedIncarnation != 0 && r.Guard.IsBlocked(job.fingerprint()) {
 			return Result{}, last.retryLaterError(p, "the request has crashed too many endpoints")
 		}
 		request.Exclude = append(request.Exclude, rd.failedMembers...)
--- a/internal/coordination/spread/node.go
+++ b/internal/coordination/spread/node.go
@@ -99,7 +99,7 @@
 	peers Peers
 	zap   *zap.Logger
 	// book holds the evidence against requests that crash endpoints; it spreads with all else.
-	book *quarantine.Book
+	book *quarantine.Tracker
 	// tellQuarantines tells that a peer's quarantines differ from this process's.
 	tellQuarantines atomic.Bool
 	// news wakes the push duty; one waiting wake-up is enough.
@@ -135,7 +135,7 @@
 // New returns a node; nothing runs yet.
 func New(cfg Config, table *fleet.Table, store *config.Store, log *configlog.Log, hosts hostlist.List, peers Peers, logger *zap.Logger) *Node {
 	return &Node{
-		cfg: cfg, table: table, store: store, log: log, hosts: hosts, peers: peers, zap: logger, book: quarantine.NewBook(),
+		cfg: cfg, table: table, store: store, log: log, hosts: hosts, peers: peers, zap: logger, book: quarantine.NewTracker(),
 		news: ring.New[struct{}](1), repair: ring.New[repairJob](16), mismatches: map[string]int{},
 	}
 }
@@ -144,7 +144,7 @@
 func (n *Node) Table() *fleet.Table { return n.table }
 
 // Quarantines gives what the fleet knows of requests that crash endpoints.
-func (n *Node) Quarantines() *quarantine.Book { return n.book }
+func (n *Node) Quarantines() *quarantine.Tracker { return n.book }
 
 // Counts returns the message counts so far.
 func (n *Node) Counts() Counts {
--- a/internal/coordination/spread/quarantine.go
+++ b/internal/coordination/spread/quarantine.go
@@ -21,7 +21,7 @@
 func (n *Node) quarantineDuty(ctx context.Context) {
 	for {
 		select {
-		case <-n.book.News():
+		case <-n.book.UrgentPending():
 			n.Announce()
 		case <-ctx.Done():
 			return
@@ -35,11 +35,11 @@
 		return nil
 	}
 	now := time.Now()
-	cases := n.book.TakeRumours(quarantineNewsBytes, now)
+	cases := n.book.PopUpdates(quarantineNewsBytes, now)
 	if n.tellQuarantines.Swap(false) {
-		cases = append(cases, quarantine.Draw(n.book.Durable(), quarantinesPerRepair)...)
+		cases = append(cases, quarantine.Sample(n.book.DurableRecords(), quarantinesPerRepair)...)
 	}
-	return quarantine.CasesToWire(cases, now)
+	return quarantine.RecordsToWire(cases, now)
 }
 
 // takeQuarantines takes in what a peer told, and notes whether it has other quarantines.
--- a/internal/coordination/spread/quarantine_test.go
+++ b/internal/coordination/spread/quarantine_test.go
@@ -29,14 +29,14 @@
 		cutOff := all[59]
 		c.setCut(func(from, to *member) bool { return from == cutOff || to == cutOff })
 		for crash := range uint64(3) {
-			all[crash/2].node.Quarantines().Crashed(key, crash, quarantine.About{}, time.Now())
+			all[crash/2].node.Quarantines().RecordCrash(key, crash, quarantine.RequestInfo{}, time.Now())
 		}
 		c.kill(all[2].id)
 		time.Sleep(3 * time.Second)
 		for _, m := range all[:2] {
-			m.node.Quarantines().Settle(time.Now())
+			m.node.Quarantines().Evaluate(time.Now())
 		}
-		if len(all[0].node.Quarantines().Durable())+len(all[1].node.Quarantines().Durable()) == 0 {
+		if len(all[0].node.Quarantines().DurableRecords())+len(all[1].node.Quarantines().DurableRecords()) == 0 {
 			t.Fatal("no quarantine")
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/operatorcli/quarantines_test.go
+++ b/internal/operatorcli/quarantines_test.go
@@ -28,11 +28,11 @@
 	server := httptest.NewServer(platformtest.NewStore())
 	t.Cleanup(server.Close)
 	address := server.Listener.Addr().String()
-	guard := quarantine.NewGuard(quarantine.NewBook(), platform.NewStore(address, http.DefaultTransport), zap.NewNop(), metrics.NewRegistry(), time.Now)
+	guard := quarantine.NewGuard(quarantine.NewTracker(), platform.NewStore(address, http.DefaultTransport), zap.NewNop(), metrics.NewRegistry(), time.Now)
 	key := fingerprint.Of(fingerprint.Request{Target: "/x"}, nil)
-	about := quarantine.About{Service: "ledger", Customer: "club", Method: "POST", Target: "/dues/4"}
+	about := quarantine.RequestInfo{Service: "ledger", Customer: "club", Method: "POST", Target: "/dues/4"}
 	crashes := []quarantine.Crash{{Incarnation: 1, Seen: time.Now()}, {Incarnation: 2, Seen: time.Now()}, {Incarnation: 3, Seen: time.Now()}}
-	guard.Book.Merge(quarantine.Case{Key: key, Level: 1, Crashes: crashes, Until: time.Now().Add(4 * time.Minute), About: about}, time.Now())
+	guard.Quarantines.Merge(quarantine.Record{Key: key, Level: 1, Crashes: crashes, Until: time.Now().Add(4 * time.Minute), About: about}, time.Now())
 	go guard.Run(t.Context())
 	listed := func() string {
 		code, out, failed := ctl("quarantines", "-store", address)
