--- a/internal/coordination/routing/directory.go
+++ b/internal/coordination/routing/directory.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// failuresToEject in a row take an endpoint out of decisions for a while.
+	// failuresToEject is how many failed runs in a row eject an endpoint for a while.
 	failuresToEject = 3
 	minEjection     = time.Second
 	maxEjection     = 30 * time.Second
 )
 
-// Directory keeps the endpoints of each service ready for decisions, and what
-// this entry has itself done to them.
+// Directory holds the endpoints of each service for decisions, their reported load
+// and what this process has itself sent to them.
 type Directory struct {
 	table *fleet.Table
 	store *config.Store
@@ -29,17 +29,18 @@
 	mu              sync.Mutex
 	fleetGeneration uint64
 	configRevision  uint64
-	endpoints       map[string][]Endpoint
-	// localEndpoints holds the endpoints of each service in this process's own domain.
+	// endpoints, localEndpoints (those in this process's own failure domain) and
+	// capacity are by service, tracked by member id.
+	endpoints      map[string][]Endpoint
 	localEndpoints map[string][]Endpoint
 	capacity       map[string]int
 	tracked        map[string]*trackedEndpoint
-	// peers are the other processes by their life, peerWork what they have underway by
-	// endpoint, heardFrom counts them by failure domain.
+	// peers are the last reports of other processes by Sender, peerWork what they have
+	// in flight by WorkID, and reportingPeers their number by failure domain.
 	peers          map[uint64]peer
 	peerWork       map[uint32]*Work
 	reportingPeers map[string]int
-	// modelRates by model.
+	// modelRates holds the mean prefill rates by model.
 	modelRates map[string]*modelRate
 	random     *rand.Rand
 }
@@ -82,7 +83,7 @@
 	d.fleetGeneration, d.configRevision = generation, view.Revision
 }
 
-// endpointsInDomain keeps the endpoints of one failure domain, in their order.
+// endpointsInDomain returns the endpoints of one failure domain, in their order.
 func endpointsInDomain(list []Endpoint, domain string) []Endpoint {
 	var out []Endpoint
 	for _, e := range list {
@@ -102,11 +103,13 @@
 	return nil
 }
 
+// track returns what is known about a member. It starts from scratch if the member is new or
+// has restarted.
 func (d *Directory) track(m fleet.Member, now time.Time) *trackedEndpoint {
 	t, ok := d.tracked[m.ID]
 	if !ok || t.incarnation != m.Incarnation {
 		if ok {
-			// An endpoint that has started anew holds nothing of what it was sent.
+			// A restarted endpoint holds no context that was sent to it before.
 			d.index.RemoveEndpoint(HashID(m.ID))
 		}
 		t = &trackedEndpoint{incarnation: m.Incarnation, domain: m.Domain, RuntimeState: RuntimeState{
@@ -114,7 +117,7 @@
 			ModelRate: d.modelRateOf(m.Endpoint.Model),
 		}}
 		if len(d.tracked) == 0 || d.fleetGeneration == 0 {
-			// What this entry finds at its own start is not new to the fleet.
+			// Endpoints that this process finds at its own start are not new.
 			t.FirstSeen = now.Add(-slowStart)
 		}
 		d.tracked[m.ID] = t
@@ -129,6 +132,8 @@
 	return d.modelRates[model]
 }
 
+// removeDead stops tracking endpoints that are gone or dead, unless this process still has runs
+// there.
 func (d *Directory) removeDead(members []fleet.Member) {
 	live := map[string]bool{}
 	for _, m := range members {
@@ -142,7 +147,7 @@
 	d.removeIdlePeerWork()
 }
 
-// removeIdlePeerWork drops the sums of endpoints that are not known and have no work.
+// removeIdlePeerWork removes the sums of unknown endpoints without work.
 func (d *Directory) removeIdlePeerWork() {
 	known := make(map[uint32]bool, len(d.tracked))
 	for id, t := range d.tracked {
@@ -155,7 +160,7 @@
 	}
 }
 
-// ApplyReports takes in load reports that came through the fleet.
+// ApplyReports applies the load reports of the fleet table.
 func (d *Directory) ApplyReports() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -166,24 +171,25 @@
 	}
 }
 
-// Properties of an endpoint that do not change while it lives; 0 means unknown.
+// Properties are those of an endpoint that do not change while its process runs; 0 means
+// unknown.
 type Properties struct {
 	// Slots is how many requests it runs at once.
 	Slots int
-	// MemoryTokens is an engine's memory.
+	// MemoryTokens is the engine's memory for context and running requests.
 	MemoryTokens int
-	// PrefillRate in tokens per second is assumed until the endpoint reports one.
-	// Without it an endpoint that was never used would look slower than the others,
+	// PrefillRate, in tokens per second, is assumed until the endpoint reports one.
+	// Without it an endpoint that was never used would look slower than the others
 	// and never be used.
 	PrefillRate int
-	// LinkRate in tokens per second at which context comes from stores, assumed in
-	// the same way.
+	// LinkRate is the rate, in tokens per second, at which context is imported from
+	// stores, assumed in the same way.
 	LinkRate int
-	// CountsOnly tells that its reports hold counts of requests, but no tokens.
+	// CountsOnly is set if its reports hold counts of requests, but no tokens.
 	CountsOnly bool
 }
 
-// SetProperties tells an endpoint's properties.
+// SetProperties sets the properties of an endpoint. Unknown members are ignored.
 func (d *Directory) SetProperties(member string, p Properties, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -199,8 +205,8 @@
 	}
 }
 
-// ObserveLoad takes in a load that came along with a choice's answer. That of an endpoint that
-// has started anew meanwhile says nothing of the present start.
+// ObserveLoad applies a load that came with the answer to a choice. It is ignored if the
+// endpoint has restarted since, because it describes the earlier incarnation.
 func (d *Directory) ObserveLoad(c Choice, load fleet.Load, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -209,7 +215,8 @@
 	}
 }
 
-// Choice is a decision with what its outcome will be compared to.
+// Choice is a decision of Choose, with the expectations that its outcome is compared to.
+// A Choice without a Member is a refusal.
 type Choice struct {
 	Member     fleet.Member
 	Reason     Reason
@@ -218,27 +225,30 @@
 	CapacityWait time.Duration
 	CachedTokens int
 	Refusal      Refusal
-	// LoadSnapshot is what the decision took the endpoint's state to be.
+	// LoadSnapshot is the endpoint's state as the decision saw it.
 	LoadSnapshot LoadSnapshot
 	holding      Holding
 	keys         []contextkey.Key
 	endpointHash uint64
-	seen         bool
-	heldTokens   int
-	chosenAt     time.Time
-	prefill      *prefill
+	// seen is set if any holding of the context was known.
+	seen       bool
+	heldTokens int
+	chosenAt   time.Time
+	prefill    *prefill
 }
 
-// prefill is a run's prompt until its answer begins.
+// prefill is the computation of a run's prompt, until its answer begins.
 type prefill struct {
-	// tokens to be read for it, and queuedTokens before them, as decided.
+	// tokens are to be computed for the prompt and queuedTokens before them, as expected
+	// by the decision.
 	tokens, queuedTokens int
 	urgency              int
 	done                 bool
 }
 
-// Choose decides for a service's request and counts it as sent; call Done when
-// the run has ended. keys may be nil.
+// Choose picks an endpoint for a request to a service and counts the request as sent.
+// It fills in r what the caller left unknown. keys may be nil. The caller ends the run
+// with Done, DoneUnreachable, DoneRefused or Release.
 func (d *Directory) Choose(service string, keys []contextkey.Key, r *Request) Choice {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -258,8 +268,8 @@
 		}
 	}
 	if len(keys) > 0 && !r.PlacementHashKnown {
-		root := d.index.PlacementKey(keys)
-		r.PlacementHash = PlacementHash([]contextkey.Key{root}, "")
+		key := d.index.PlacementKey(keys)
+		r.PlacementHash = PlacementHash([]contextkey.Key{key}, "")
 	}
 	if list := d.endpoints[service]; len(list) > 0 && !r.HoldingsKnown {
 		preferred := preferredEndpoints(list, r.PlacementHash)[0].Hash
@@ -268,19 +278,19 @@
 	if r.CrossDomainPenalty > 0 {
 		r.Local = d.localEndpoints[service]
 	}
-	v := Decide(d.endpoints[service], r, d.random)
-	if v.Endpoint == nil {
-		return Choice{Refusal: v.Refusal}
+	decision := Decide(d.endpoints[service], r, d.random)
+	if decision.Endpoint == nil {
+		return Choice{Refusal: decision.Refusal}
 	}
-	e := v.Endpoint
+	e := decision.Endpoint
 	snapshot := d.tracked[e.ID].snapshot(r.Now)
 	e.Running++
 	e.HeldTokens += r.HeldTokens
-	pending := &prefill{tokens: v.WorkTokens, queuedTokens: e.queuedTokens(r.Urgency), urgency: r.Urgency}
-	e.Unread[r.Urgency] += v.WorkTokens
-	d.tracked[e.ID].recordSend(v.WorkTokens, r.Now)
+	pending := &prefill{tokens: decision.WorkTokens, queuedTokens: e.queuedTokens(r.Urgency), urgency: r.Urgency}
+	e.Unread[r.Urgency] += decision.WorkTokens
+	d.tracked[e.ID].recordSend(decision.WorkTokens, r.Now)
 	c := Choice{
-		Member: e.Member, Reason: v.Reason, TTFT: v.TTFT, Wait: v.Wait, CapacityWait: v.CapacityWait, CachedTokens: v.CachedTokens, keys: keys, endpointHash: e.Hash, seen: seen,
+		Member: e.Member, Reason: decision.Reason, TTFT: decision.TTFT, Wait: decision.Wait, CapacityWait: decision.CapacityWait, CachedTokens: decision.CachedTokens, keys: keys, endpointHash: e.Hash, seen: seen,
 		heldTokens: r.HeldTokens, chosenAt: r.Now, LoadSnapshot: snapshot, prefill: pending,
 	}
 	for _, h := range r.Holdings {
@@ -291,8 +301,8 @@
 	return c
 }
 
-// RecordCachedTokens tells what the engine found for a choice: cached tokens in all, and
-// those of them that were imported for it.
+// RecordCachedTokens records how many of the prompt's tokens the engine found cached, and
+// how many of those were imported for this run, and that the endpoint now holds the context.
 func (d *Directory) RecordCachedTokens(c Choice, cachedTokens, importedTokens int, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -314,8 +324,8 @@
 	return out
 }
 
-// Capacity is the number of runs that this entry may have on a service's
-// endpoints together; 0 means no bound.
+// Capacity returns how many runs this process may have at all endpoints of a service
+// together; 0 means no bound.
 func (d *Directory) Capacity(service string, now time.Time) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/coordination/routing/estimate.go
+++ b/internal/coordination/routing/estimate.go
@@ -6,11 +6,11 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// meanQueueDepth is how many requests wait behind a token's computation: the average
-// queue of the candidates in requests of this size. Recomputing delays all of
-// them, not only its own caller. Without the meanQueueDepth, long queues make every
-// request flee to the shortest one, contexts are computed anew wherever it lands,
-// and that work keeps the queues long after the peak that made them is over.
+// meanQueueDepth returns the average queue of the candidates, in requests of this size:
+// so many requests wait behind a token's computation. Recomputing delays all of them,
+// not only its own caller. If scores left that out, long queues would send every request
+// to the shortest one, contexts would be recomputed there, and that work would keep the
+// queues long after the peak that caused them is over.
 func (c *candidateSet) meanQueueDepth(r *Request) float64 {
 	if c.n == 0 {
 		return 0
@@ -22,11 +22,11 @@
 	return float64(queued) / float64(c.n) / float64(max(1, r.PromptTokens))
 }
 
-// degradedPenalty ranks ejected endpoints behind all others, but before a refusal:
-// when every endpoint has failed lately, one of them is still the best try.
+// degradedPenalty ranks degraded endpoints behind all others, but before a refusal: when
+// every endpoint has failed recently, one of them is still the best choice.
 const degradedPenalty = 1e6
 
-// estimate is what a request is expected to cost at an endpoint.
+// estimate is what a request is expected to cost at an endpoint. The lowest score wins.
 type estimate struct {
 	ttft, wait time.Duration
 	// capacityWait is the part of wait that is for a slot and memory.
@@ -39,9 +39,9 @@
 func evaluate(e *Endpoint, r *Request, queueDepth float64) estimate {
 	cached := expectedCached(e, r)
 	best := newEstimate(e, r, queueDepth, cached, 0)
-	if imported := r.importableTokens(cached); imported > 0 && e.Load.LinkRate > 0 {
-		if imported := newEstimate(e, r, queueDepth, cached, imported); imported.score < best.score {
-			best = imported
+	if importable := r.importableTokens(cached); importable > 0 && e.Load.LinkRate > 0 {
+		if withImport := newEstimate(e, r, queueDepth, cached, importable); withImport.score < best.score {
+			best = withImport
 		}
 	}
 	if e.Domain != r.Domain {
@@ -53,24 +53,25 @@
 	return best
 }
 
-// isDegraded tells whether an endpoint is used only if there is no other.
+// isDegraded reports whether an endpoint is ejected or suspected to be dead. It is then used
+// only if there is no other.
 func (e *Endpoint) isDegraded(now time.Time) bool {
 	return e.EjectedUntil.After(now) || e.State == fleet.Suspect
 }
 
-// importableTokens is how many of the tokens behind the cached ones stores hold without a
-// gap: an engine reads everything behind one.
+// importableTokens returns how many tokens after the cached ones can be imported without a
+// gap: an engine computes everything after a gap.
 func (r *Request) importableTokens(cached int) int {
 	if !r.SegmentsKnown {
 		return int(r.ImportShare * float64(r.PromptTokens-cached))
 	}
 	end, tokens := 0, 0
-	for _, i := range r.Segments {
-		end += i.Tokens
+	for _, s := range r.Segments {
+		end += s.Tokens
 		if end <= cached {
 			continue
 		}
-		if !i.Stored {
+		if !s.Stored {
 			break
 		}
 		tokens = end - cached
@@ -78,7 +79,8 @@
 	return tokens
 }
 
-// newEstimate of serving a request with moved of its missing tokens imported.
+// newEstimate estimates serving a request with cached tokens in the engine's memory and
+// imported tokens brought from stores; the engine computes the rest.
 func newEstimate(e *Endpoint, r *Request, queueDepth float64, cached, imported int) estimate {
 	recomputed := r.PromptTokens - cached - imported
 	transfer := time.Duration(0)
@@ -87,13 +89,13 @@
 	}
 	work := float64(recomputed) / e.prefillRate()
 	insertion := r.insertionCost(cached) / e.prefillRate()
-	// An import runs while the engine works off what waits before.
+	// An import proceeds while the engine works through its queue.
 	queue := seconds(float64(e.queuedTokens(r.Urgency)) / e.prefillRate())
 	slot := e.slotWait(r.Now)
 	ttft := max(transfer, queue) + seconds(work) + slot + e.memoryWait(r, r.HeldTokens) + e.overhead(r)
 	late := latenessCost(ttft, r)
 	capacityWait := slot + e.memoryWait(r, r.meanHeldTokens())
-	// The work that a decision makes for others weighs as its own waiting does.
+	// A delay that the request causes to others weighs as much as its own waiting.
 	weight := r.Objective.WeightTTFT + late/max(ttft.Seconds(), 1e-9)
 	return estimate{
 		ttft: ttft, wait: queue + capacityWait, capacityWait: capacityWait, cached: cached, recomputed: recomputed,
@@ -102,23 +104,25 @@
 	}
 }
 
-// crossDomainTransferFactor is how much longer a transfer takes to another failure domain.
+// crossDomainTransferFactor is how many times as long a transfer takes to another failure
+// domain.
 const crossDomainTransferFactor = 2
 
-// transferTime is how long the moved tokens behind the cached ones take to an endpoint.
+// transferTime returns how long a transfer of the imported tokens, which follow the cached
+// ones, to an endpoint would take.
 func (r *Request) transferTime(e *Endpoint, cached, imported int) time.Duration {
 	if !r.SegmentsKnown {
 		return seconds(float64(imported) / float64(e.Load.LinkRate))
 	}
 	total, begin := time.Duration(0), 0
-	for _, i := range r.Segments {
-		missing := min(begin+i.Tokens, cached+imported) - max(begin, cached)
-		begin += i.Tokens
+	for _, s := range r.Segments {
+		missing := min(begin+s.Tokens, cached+imported) - max(begin, cached)
+		begin += s.Tokens
 		if missing <= 0 {
 			continue
 		}
-		took := time.Duration(float64(i.TransferTime) * float64(missing) / float64(i.Tokens))
-		if i.Domain != e.Domain {
+		took := time.Duration(float64(s.TransferTime) * float64(missing) / float64(s.Tokens))
+		if s.Domain != e.Domain {
 			took *= crossDomainTransferFactor
 		}
 		total += took
@@ -126,28 +130,28 @@
 	return total
 }
 
-// insertionCost is the price, in tokens, of bringing what is not resident into an
-// engine's memory. What returns within seconds, such as a prefix that many
-// prompts share, pays it once for many uses; with the full price it would be
-// tied to one engine until that drowned.
+// insertionCost returns the eviction cost, in tokens, of bringing context that is not
+// resident into an engine's memory. Context that is reused within seconds, such as a
+// prefix that many prompts share, bears only a part of it, since many uses share it. At
+// the full cost such a prefix would be bound to one engine until that is overloaded.
 func (r *Request) insertionCost(cached int) float64 {
 	returning := max(0, r.KnownTokens-cached)
 	fresh := max(0, r.ContextTokens-max(cached, r.KnownTokens))
 	tokens := evictionCost * (float64(fresh) + float64(returning)*min(1, float64(r.KnownAge)/float64(fullCostAge)))
 	if r.SegmentsKnown && r.ContextTokens > 0 {
-		// What is pushed out comes back by import instead of computation, as far as
+		// Evicted context is imported again instead of recomputed, assuming that
 		// stores hold as much of other contexts as of this one.
 		tokens *= 1 - importSavings*float64(min(r.importableTokens(0), r.ContextTokens))/float64(r.ContextTokens)
 	}
 	return tokens
 }
 
-// importSavings is the part of a context's computation that its import saves: links
-// carry 200,000 tokens a second and more, engines read 50,000.
+// importSavings is the share of a context's computation time that importing it saves:
+// links carry 200,000 tokens per second and more, engines compute 50,000.
 const importSavings = 0.8
 
-// latenessCost makes each second beyond the service's own objective cost something,
-// however little it weighs waiting otherwise: patient is not endless.
+// latenessCost makes each second beyond the service's objective cost something, however
+// little the objective weighs waiting otherwise: patience has a limit.
 func latenessCost(ttft time.Duration, r *Request) float64 {
 	objective := time.Duration(r.Objective.TTFTMS) * time.Millisecond
 	if objective == 0 {
@@ -174,8 +178,8 @@
 	return defaultPrefillRate
 }
 
-// queuedTokens is the work before a new request. A report is old when it is
-// read: what this entry sent since is added.
+// queuedTokens returns the prompt tokens to be computed before a new request. A report is
+// already old when it is used, so what this process sent since is added.
 func (e *Endpoint) queuedTokens(urgency int) int {
 	if !e.CountsOnly {
 		return e.Load.QueuedTokens + e.SentTokens
@@ -195,11 +199,11 @@
 	return total
 }
 
-// maxFreshLoadAge is how long an endpoint's own count stands beside what the processes say
-// that they have underway there: about the time of a short run.
+// maxFreshLoadAge is how long an endpoint's own count of requests is considered along with
+// what the processes report to have in flight there: about the duration of a short run.
 const maxFreshLoadAge = 500 * time.Millisecond
 
-// requestCount is how many requests the endpoint has, as far as this entry knows.
+// requestCount returns how many requests the endpoint has, as far as this process knows.
 func (e *Endpoint) requestCount(now time.Time) int {
 	reported := e.Load.Running + e.Load.Queued + e.SentRuns
 	if !e.HasPeerReports {
@@ -212,8 +216,8 @@
 	return max(known, reported)
 }
 
-// slotWait is how long a further request waits for one of the endpoint's slots: a
-// slot comes free every RunTime/Slots.
+// slotWait returns how long another request waits for one of the endpoint's slots: one
+// becomes free every RunTime/Slots.
 func (e *Endpoint) slotWait(now time.Time) time.Duration {
 	requests := e.requestCount(now)
 	if e.Slots == 0 || requests < e.Slots {
@@ -226,9 +230,9 @@
 	return runTime * time.Duration(requests-e.Slots+1) / time.Duration(e.Slots)
 }
 
-// memoryWait is how long a run of so many tokens waits until an engine's memory has room
-// for it, or preempts others that then wait as long: all memory is given back once in
-// RunTime.
+// memoryWait returns how long a run that occupies tokens waits for free memory in the
+// engine, or how long others wait that it preempts. All memory is assumed to be freed once
+// per RunTime.
 func (e *Endpoint) memoryWait(r *Request, tokens int) time.Duration {
 	if e.MemoryTokens == 0 || tokens == 0 {
 		return 0
@@ -241,11 +245,12 @@
 	return time.Duration(float64(runTime) * float64(excess) / float64(e.MemoryTokens) * memoryWaitFactor)
 }
 
-// meanHeldTokens is the size by which a request is refused: every size of a kind has the same chance.
-// With its own the largest would find no room whenever memory is nearly full, and smaller
-// ones would keep it so. At twice the meanHeldTokens load 0.22 of the largest tenth were served where
-// 0.46 of all were, and on 14 of 24 overloaded days less than half as many of them as of all;
-// with the meanHeldTokens size on 2.
+// meanHeldTokens returns the size by which a request is refused: the mean of its kind, so that
+// all sizes of a kind have the same chance. By its own size, a large request would find no
+// free memory whenever memory is nearly full, and smaller ones would keep it nearly full: at
+// twice the usual load, 0.22 of the largest tenth were served where 0.46 of all were, and on 14
+// of 24 overloaded days less than half as many of them as of all. By the mean size, that was so
+// on 2 days.
 func (r *Request) meanHeldTokens() int {
 	if r.MeanHeldTokens == 0 {
 		return r.HeldTokens
@@ -253,8 +258,8 @@
 	return r.MeanHeldTokens
 }
 
-// totalHeldTokens is what all runs take of an engine's memory. Where others do not tell,
-// their runs are taken to be like this entry's own.
+// totalHeldTokens returns how much of an engine's memory all runs occupy. Where other
+// processes do not report their work, their runs are assumed to be like this process's own.
 func (e *Endpoint) totalHeldTokens(r *Request) int {
 	if e.HasPeerReports {
 		return e.HeldTokens + e.PeerWork.HeldTokens
@@ -266,12 +271,12 @@
 	return e.HeldTokens + max(0, e.requestCount(r.Now)-e.Running)*each
 }
 
-// memoryWaitFactor makes a full engine less attractive than its wait alone: a run
-// that does not fit preempts another, which is read in again.
+// memoryWaitFactor makes a full engine cost more than its wait alone: a run that does not
+// fit preempts another, whose prompt is then computed again.
 const memoryWaitFactor = 2
 
-// overhead is the way there, a slow start, and a little for each run that shares
-// the engine with the prefill.
+// overhead returns the sum of the delay to another failure domain, the slow-start penalty
+// and 100 µs for each run that shares the engine with the prefill.
 func (e *Endpoint) overhead(r *Request) time.Duration {
 	d := time.Duration(e.Load.Running+e.SentRuns) * 100 * time.Microsecond
 	if e.Domain != r.Domain {
--- a/internal/coordination/routing/holders_test.go
+++ b/internal/coordination/routing/holders_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// TestHolderOfWholeContextIsCandidate has every endpoint of the domain hold the first part of a
-// prompt, which all prompts of its kind begin with, and one hold the whole context.
+// TestHolderOfWholeContextIsCandidate has all 36 local endpoints hold a prefix that all prompts
+// of a kind share, and one of them hold the whole context.
 //
-// A decision looks at twenty endpoints at most. Filled with those that hold the beginning it left
-// out the one with the context half of the time, and 8,000 tokens were read again.
+// It guards against a candidate set that is full before the holder of the whole context is added:
+// a decision has at most 20 candidates. When all of them could be holders of the prefix, the one
+// with the whole context was left out half of the time, and 8,000 tokens were computed again.
 func TestHolderOfWholeContextIsCandidate(t *testing.T) {
 	all := newEndpoints(36)
 	const whole = 29
@@ -25,17 +26,18 @@
 			r.Holdings = append(r.Holdings, h)
 		}
 		if v := Decide(all, r, random); v.Endpoint.ID != all[whole].ID || v.Reason != ReasonHoldsContext {
-			t.Fatalf("decision %d: %s, %s", n, v.Endpoint.ID, v.Reason)
+			t.Fatalf("decision %d: got %s, %s, want the holder of the whole context", n, v.Endpoint.ID, v.Reason)
 		}
 	}
 }
 
-// TestSharedPrefixDoesNotConcentratePrompts sends prompts whose first part all endpoints hold, with
-// reports that are a second old.
+// TestSharedPrefixDoesNotConcentratePrompts sends prompts with a prefix that all endpoints hold. All
+// are decided on the same load reports, like the prompts that all processes send within the second
+// between two reports.
 //
-// All processes see the same reports. If each chose the best of all holders, the prompts of a
-// second would meet at the one that looked idle. A decision looks at ten endpoints, so that less
-// than a third of the prompts come to the one that looks best.
+// If each process chose the best of all holders, all those prompts would go to the endpoint that
+// looked idle. A decision considers ten endpoints, so that less than a third of the prompts go to the
+// one that looks best.
 func TestSharedPrefixDoesNotConcentratePrompts(t *testing.T) {
 	all := newEndpoints(36)
 	for i := range all {
@@ -57,15 +59,15 @@
 		most = max(most, n)
 	}
 	if most > prompts/3 {
-		t.Errorf("one endpoint got %d of %d prompts", most, prompts)
+		t.Errorf("one endpoint got %d of %d prompts, want at most a third", most, prompts)
 	}
 }
 
-// TestPrefillRateIsLearnedAcrossEngines lets a process see each of 36 engines once or twice, each four
-// times as slow as assumed.
+// TestPrefillRateIsLearnedAcrossEngines lets a process observe each of 36 engines once or twice. All
+// are four times as slow as assumed.
 //
-// Before, each engine's rate was learned of its own observations alone: a process of a large
-// fleet went on to expect a fourth of the real wait, and sent prompts to full engines.
+// It guards against learning each engine's rate only from its own observations: a process of a large
+// fleet then kept expecting a fourth of the real wait, and sent prompts to full engines.
 func TestPrefillRateIsLearnedAcrossEngines(t *testing.T) {
 	const assumed, real, count = 40_000, 10_000, 36
 	d, table := newDirectory(t, count)
@@ -74,9 +76,9 @@
 		d.SetProperties(m.ID, Properties{PrefillRate: assumed, CountsOnly: true, Slots: 64}, now)
 	}
 	const tokens = 10_000
-	choose := func(root uint64) Choice {
+	choose := func(seed uint64) Choice {
 		return d.Choose("s", nil, &Request{
-			PromptTokens: tokens, SegmentsKnown: true, HoldingsKnown: true, PlacementHash: splitMix64(root), PlacementHashKnown: true, Now: now, Domain: "d",
+			PromptTokens: tokens, SegmentsKnown: true, HoldingsKnown: true, PlacementHash: splitMix64(seed), PlacementHashKnown: true, Now: now, Domain: "d",
 		})
 	}
 	for n := range 60 {
@@ -89,6 +91,6 @@
 	expected := choose(61).TTFT
 	want := time.Second * tokens / real
 	if expected < want*7/10 || expected > want*13/10 {
-		t.Errorf("the first token is expected after %s, comes after %s", expected, want)
+		t.Errorf("expected TTFT: got %s, want within 0.3 of %s", expected, want)
 	}
 }
--- a/internal/coordination/routing/index.go
+++ b/internal/coordination/routing/index.go
@@ -8,9 +8,10 @@
 )
 
 const (
-	// holdersPerChunk is the number of endpoints remembered for a piece of context.
+	// holdersPerChunk is the number of endpoints remembered for a chunk of context.
 	holdersPerChunk = 2
-	// ageBuckets count seconds by powers of two: the last holds about a day.
+	// ageBuckets is the number of buckets of ages, by powers of two in seconds; the last
+	// is for ages of about a day.
 	ageBuckets = 18
 	// learningRate is the weight of one observation of a bucket's hit rate.
 	learningRate = 0.05
@@ -21,26 +22,26 @@
 	usedAt   int64
 }
 
-// Index remembers where this entry last sent a context. It is a hint: an engine
-// that lost the blocks recomputes them, and the index learns how often that
-// happens by the age of its entries. Memory is bounded by two generations of at
-// most size pieces; the older is dropped whole, without per-entry bookkeeping.
+// Index records where this process last sent a context. It is a hint: an engine that
+// has evicted the context recomputes it, and the index learns how often that happens
+// by the age of its records. Memory is bounded by two generations of at most size chunks;
+// the older generation is dropped whole, without bookkeeping for each record.
 type Index struct {
 	size     int
 	current  map[contextkey.Key][holdersPerChunk]holder
 	previous map[contextkey.Key][holdersPerChunk]holder
 	hitRate  [ageBuckets]float64
-	// preferredHitRate is how much of a context its home is found to hold when this
-	// entry itself has not sent it there: other entries do.
+	// preferredHitRate is the share of a context that its preferred endpoint is found to
+	// hold when this process has not sent it there itself, because others did.
 	preferredHitRate float64
-	// branches tells prefixes that many contexts share.
+	// branches detects prefixes that many contexts share.
 	branches map[contextkey.Key]branch
-	// importShare is the share of missing tokens that came from stores, for
-	// contexts this entry has seen before (1) and has not (0).
+	// importShare is the share of missing tokens that came from stores, for contexts
+	// that this process has not seen before (0) and has seen (1).
 	importShare [2]float64
 }
 
-// NewIndex returns an empty index of at most 2*size pieces.
+// NewIndex returns an empty index of at most 2*size chunks.
 func NewIndex(size int) *Index {
 	x := &Index{size: size, current: map[contextkey.Key][holdersPerChunk]holder{}, branches: map[contextkey.Key]branch{}, preferredHitRate: 0.5}
 	for i := range x.hitRate {
@@ -54,8 +55,8 @@
 }
 
 // Lookup appends to out where the longest prefixes of a context may be resident.
-// ends holds the tokens up to the end of each key's piece; nil means that all
-// pieces have contextkey.PieceTokens.
+// ends holds the number of tokens up to the end of each key's chunk; nil means that all
+// chunks have contextkey.PieceTokens.
 func (x *Index) Lookup(keys []contextkey.Key, ends []int, now time.Time, out []Holding) []Holding {
 	for i := len(keys) - 1; i >= 0; i-- {
 		for _, h := range x.holdersOf(keys[i]) {
@@ -74,7 +75,8 @@
 	return out
 }
 
-// holdersOf is where a piece was last sent; unused places have endpoint 0.
+// holdersOf returns the endpoints that a chunk was last sent to; unused elements have
+// endpoint 0.
 func (x *Index) holdersOf(key contextkey.Key) [holdersPerChunk]holder {
 	if found, ok := x.current[key]; ok {
 		return found
@@ -82,7 +84,7 @@
 	return x.previous[key]
 }
 
-// tokensUpTo counts the tokens of a context's first pieces.
+// tokensUpTo counts the tokens of a context's first chunks.
 func tokensUpTo(ends []int, chunks int) int {
 	switch {
 	case chunks == 0:
@@ -93,23 +95,25 @@
 	return ends[chunks-1]
 }
 
-// branch counts how many different pieces follow a piece.
+// branch counts how often the chunk that follows a chunk changes.
 type branch struct {
 	last  contextkey.Key
 	count int
 }
 
 const (
-	// minSharedBranches different continuations a piece counts as shared by many contexts.
+	// minSharedBranches is the count from which a chunk is regarded as shared by many
+	// contexts.
 	minSharedBranches = 8
-	// maxBranches bounds the pieces whose continuations are counted.
+	// maxBranches bounds the number of chunks whose followers are counted.
 	maxBranches = 20_000
 )
 
-// PlacementKey names a context for computed placement: its first piece that is not
-// shared by many contexts. With the first piece of all, every conversation that
-// begins with the same long instructions would have the same home. Entries learn
-// which pieces are shared each for itself; they agree after a few prompts.
+// PlacementKey returns the key that determines a context's preferred endpoints: that of
+// its first chunk that is not shared by many contexts. By the first chunk alone, all
+// conversations that begin with the same long instructions would have the same preferred
+// endpoints. Each process learns by itself which chunks are shared; they agree after a few
+// prompts.
 func (x *Index) PlacementKey(keys []contextkey.Key) contextkey.Key {
 	for i := range len(keys) - 1 {
 		b := x.branches[keys[i]]
@@ -127,10 +131,10 @@
 	return keys[len(keys)-1]
 }
 
-// AddPreferred appends the expectation that a context's home holds it. All entries
-// compute the same home, so a context that one of them sent there is found by
-// the others without a word between them; without it each entry would build a
-// copy of its own in another engine's memory.
+// AddPreferred appends the expectation that a context's preferred endpoint holds it. All
+// processes compute the same preferred endpoint, so a context that one of them sent there
+// is found by the others without communication. Without the expectation, each process would
+// build a copy of its own in another engine's memory.
 func (x *Index) AddPreferred(preferred uint64, tokens int, out []Holding) []Holding {
 	if tokens == 0 || hasEndpoint(out, preferred) {
 		return out
@@ -147,7 +151,7 @@
 	return false
 }
 
-// Add records that an endpoint has computed or read a context.
+// Add records that an endpoint has computed or imported a context.
 func (x *Index) Add(keys []contextkey.Key, endpoint uint64, now time.Time) {
 	for _, key := range keys {
 		entry, ok := x.current[key]
@@ -165,7 +169,7 @@
 	}
 }
 
-// RemoveEndpoint drops all that an endpoint is remembered to hold.
+// RemoveEndpoint removes all records of an endpoint.
 func (x *Index) RemoveEndpoint(endpoint uint64) {
 	for _, generation := range []map[contextkey.Key][holdersPerChunk]holder{x.current, x.previous} {
 		for key, list := range generation {
@@ -184,7 +188,7 @@
 	}
 }
 
-// ObserveHit compares what was expected of a holding with what the engine found.
+// ObserveHit updates the expected hit rate with what the engine found of a holding.
 func (x *Index) ObserveHit(h Holding, cachedTokens int) {
 	if h.Tokens == 0 {
 		return
@@ -197,24 +201,26 @@
 	*rate += learningRate * (hit - *rate)
 }
 
-// Len is the number of pieces remembered.
+// Len returns the number of chunks in both generations.
 func (x *Index) Len() int { return len(x.current) + len(x.previous) }
 
-// ImportShare is the share of a context's missing tokens that stores hold.
-func (x *Index) ImportShare(seen bool) float64 { return x.importShare[asIndex(seen)] }
+// ImportShare returns the expected share of a context's missing tokens that stores hold,
+// for contexts that this process has seen before or not.
+func (x *Index) ImportShare(seen bool) float64 { return x.importShare[boolToInt(seen)] }
 
-func asIndex(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// ObserveImport compares what was missing with what came from a store.
+// ObserveImport updates the expected import share with how many of the missing tokens came
+// from a store.
 func (x *Index) ObserveImport(seen bool, missing, imported int) {
 	if missing <= 0 {
 		return
 	}
-	rate := &x.importShare[asIndex(seen)]
+	rate := &x.importShare[boolToInt(seen)]
 	*rate += learningRate * (min(1, float64(imported)/float64(missing)) - *rate)
 }
--- a/internal/coordination/routing/outcome.go
+++ b/internal/coordination/routing/outcome.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// RecordFirstToken tells that a choice's answer has begun.
+// RecordFirstToken records that the answer to a choice has begun.
 func (d *Directory) RecordFirstToken(c Choice, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -17,7 +17,7 @@
 	t.observePrefillRate(c.prefill.tokens+c.prefill.queuedTokens, now.Sub(c.chosenAt))
 }
 
-// finishPrefill takes a run's prompt out of what is still to be read.
+// finishPrefill subtracts a run's prompt from the unread tokens, once.
 func (t *trackedEndpoint) finishPrefill(c Choice) {
 	if c.prefill.done {
 		return
@@ -27,29 +27,30 @@
 }
 
 const (
-	// minRateSampleTokens this many tokens on, the time to the first token tells how fast an
-	// engine reads; below, fixed costs outweigh it.
+	// minRateSampleTokens is the number of tokens from which the time to the first token
+	// is a sample of an engine's prefill rate; below, fixed costs dominate it.
 	minRateSampleTokens = 2000
-	// rateSampleWeight of one observation.
+	// rateSampleWeight is the weight of one observation of an engine's rate.
 	rateSampleWeight = 0.1
-	// maxRateFactor bounds what is learned, as a factor of what was assumed: a run that
-	// waited for something else says nothing about reading.
+	// maxRateFactor bounds observed rates, as a factor of the assumed rate: a run that
+	// waited for something else says nothing about the prefill rate.
 	maxRateFactor = 6
-	// modelRateSampleWeight of one observation among those of all engines of a model: with five a
-	// second the mean follows within seconds.
+	// modelRateSampleWeight is the weight of one observation in the mean of all engines of a
+	// model. At five observations per second, the mean follows within seconds.
 	modelRateSampleWeight = 0.05
-	// modelRatePriorSamples is how many of an engine's own observations the mean of all engines
-	// stands for, and mostRatesSeen how many of its own count at most.
+	// modelRatePriorSamples is how many of an engine's own observations weigh as much as the
+	// mean of all engines, and maxRateSamples how many of its own count at most.
 	modelRatePriorSamples = 8
 	maxRateSamples        = 24
 )
 
-// modelRate is how fast all engines of a model are seen to read, by this process. In a large fleet
-// a process sees each engine's rate every few seconds at best: with 36 engines to each of a
-// hundred processes, prompts that were expected to begin after 0.45 s did so after 1.5 s, and
-// were sent to full engines instead of being refused.
+// modelRate is the mean prefill rate of all engines of a model, as this process observes it. In
+// a large fleet a process observes each engine's rate every few seconds at best. By the engines'
+// own rates alone, with 36 engines to each of a hundred processes, first tokens that were
+// expected after 0.45 s came after 1.5 s, and prompts were sent to full engines instead of being
+// refused.
 type modelRate struct {
-	// mean in tokens per second, 0 before the first observation.
+	// mean is in tokens per second, 0 before the first observation.
 	mean float64
 }
 
@@ -60,7 +61,8 @@
 	r.mean = harmonicMean(r.mean, observed, modelRateSampleWeight)
 }
 
-// blend is an engine's own, as far as it was seen, and else that of all.
+// blend returns the mean of an engine's own rate, weighted by its number of samples, and
+// the rate of all engines.
 func (r *modelRate) blend(own float64, samples int) float64 {
 	if r == nil || r.mean == 0 {
 		return own
@@ -68,8 +70,8 @@
 	return harmonicMean(r.mean, own, float64(samples)/float64(samples+modelRatePriorSamples))
 }
 
-// observePrefillRate corrects the assumed reading rate by what was seen. The rate of a busy
-// engine includes what it does between the pieces of a prompt.
+// observePrefillRate updates an engine's prefill rate with the time that it took to compute
+// tokens. The rate of a busy engine includes what it does between the chunks of a prompt.
 func (t *trackedEndpoint) observePrefillRate(tokens int, took time.Duration) {
 	if !t.CountsOnly || tokens < minRateSampleTokens || took <= 0 || t.assumedRate == 0 {
 		return
@@ -82,14 +84,14 @@
 	t.ModelRate.observe(t.assumedRate, observed)
 }
 
-// harmonicMean moves a mean rate towards one that was seen. Times add up, rates don't: the mean
-// is taken of the time for a token.
+// harmonicMean returns the weighted harmonic mean of a mean rate and an observed one: the
+// times per token can be averaged, the rates can't.
 func harmonicMean(mean, observed, weight float64) float64 {
 	return 1 / ((1-weight)/mean + weight/observed)
 }
 
-// trackedFor finds a choice's endpoint if it is still the one that was chosen; d.mu is
-// held.
+// trackedFor returns the endpoint of a choice, or nil if it is gone or has restarted; d.mu
+// must be held.
 func (d *Directory) trackedFor(c Choice) *trackedEndpoint {
 	t, ok := d.tracked[c.Member.ID]
 	if !ok || t.incarnation != c.Member.Incarnation {
@@ -98,8 +100,8 @@
 	return t
 }
 
-// removeRun takes a choice's run out of the counts; d.mu is held. nil means that its
-// endpoint is gone.
+// removeRun subtracts a choice's run from the counts and returns its endpoint, or nil if
+// that is gone or has restarted; d.mu must be held.
 func (d *Directory) removeRun(c Choice) *trackedEndpoint {
 	t := d.trackedFor(c)
 	if t == nil {
@@ -111,7 +113,7 @@
 	return t
 }
 
-// Done ends a choice's run; failed tells that the endpoint or the way to it
+// Done ends a choice's run; failed means that the endpoint or the connection to it
 // failed (a refusal for load is no failure).
 func (d *Directory) Done(c Choice, failed bool, now time.Time) {
 	d.mu.Lock()
@@ -131,9 +133,9 @@
 	}
 }
 
-// DoneUnreachable ends a choice's run at an endpoint that could not be reached or fell
-// silent. One such failure is enough: each further try costs a caller the time
-// until it is noticed.
+// DoneUnreachable ends a choice's run at an endpoint that could not be reached or stopped
+// responding. One such failure ejects it: each further attempt costs a caller the time
+// until the failure is detected.
 func (d *Directory) DoneUnreachable(c Choice, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -142,18 +144,20 @@
 	}
 }
 
-// Release takes back a choice that was not used.
+// Release ends a choice's run without an outcome that counts for or against the endpoint,
+// for example if the choice was not used.
 func (d *Directory) Release(c Choice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.removeRun(c)
 }
 
-// refusalEjection is about the time in which a full endpoint ends a run.
+// refusalEjection is how long an endpoint that refused a run is ejected: about the time in
+// which a full endpoint ends a run.
 const refusalEjection = 100 * time.Millisecond
 
-// DoneRefused ends a choice's run that the endpoint did not accept: it is full or
-// busy with an order, and others are asked for a moment.
+// DoneRefused ends a choice's run that the endpoint did not accept, because it is full or
+// executing an order. It is ejected for a moment, so that others are chosen.
 func (d *Directory) DoneRefused(c Choice, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -166,15 +170,15 @@
 	}
 }
 
-// RecordSent records that an endpoint reads a choice's context. Started does it for
-// engines that also tell what they found.
+// RecordSent records that an endpoint computes a choice's context. For engines that report
+// what they found cached, RecordCachedTokens does so.
 func (d *Directory) RecordSent(c Choice, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.index.Add(c.keys, c.endpointHash, now)
 }
 
-// observeRunTime keeps a moving average of how long a whole run takes.
+// observeRunTime updates the moving average of how long a whole run takes.
 func (t *trackedEndpoint) observeRunTime(took time.Duration) {
 	const weight = 16
 	if t.RunTime == 0 {
@@ -184,8 +188,9 @@
 	t.RunTime += (took - t.RunTime) / weight
 }
 
-// eject doubles the time out of decisions, with jitter so that entries do not
-// all return at once to an endpoint that is just recovering.
+// eject ejects an endpoint, for twice as long each time until a run succeeds, up to
+// maxEjection. Jitter keeps processes from all returning at once to an endpoint that is
+// just recovering.
 func (t *trackedEndpoint) eject(now time.Time, random *rand.Rand) {
 	length := min(maxEjection, minEjection<<min(t.ejections, 5))
 	t.EjectedUntil = now.Add(length/2 + time.Duration(random.Int64N(int64(length/2)+1)))
--- a/internal/coordination/routing/peers.go
+++ b/internal/coordination/routing/peers.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// Work is what one process's requests underway take of one endpoint.
+// Work is what one process has in flight at one endpoint.
 type Work struct {
-	// Endpoint is its WorkID.
+	// Endpoint is the endpoint's WorkID.
 	Endpoint uint32
 	Running  int
-	// HeldTokens of an engine's memory.
+	// HeldTokens is the engine memory that the runs occupy.
 	HeldTokens int
-	// Unread prompt tokens, by urgency.
+	// Unread is the prompt tokens of runs that have not begun to answer, by urgency.
 	Unread [UrgencyLevels]int
 }
 
-// UnreadTokens of all urgencies.
+// UnreadTokens returns the sum of Unread over all urgencies.
 func (w Work) UnreadTokens() int { return sum(w.Unread[:]) }
 
-// WorkID names an endpoint's incarnation in reports of work: half of a hash is enough to
-// tell a thousand apart, and reports are many. What processes had underway at an earlier
-// start is no work of the present one.
+// WorkID identifies an endpoint's incarnation in peer reports. Half of a 64-bit hash is enough
+// to distinguish a thousand endpoints, and keeps the frequent reports small. It covers the
+// incarnation because requests sent to an earlier one are no work of the current one.
 func WorkID(id string, incarnation uint64) uint32 {
 	return uint32((HashID(id) ^ splitMix64(incarnation)) >> 32)
 }
 
-// PeerReport is all that another process has underway.
+// PeerReport is all that another process has in flight.
 type PeerReport struct {
-	// Sender names the process's life; a report replaces the sender's last one.
+	// Sender is the process's incarnation; a report replaces the sender's last one.
 	Sender uint64
-	// Number grows with each report of a sender: datagrams overtake each other.
+	// Number grows with each report of a sender: datagrams may arrive out of order.
 	Number uint64
 	Domain string
 	Work   []Work
-	// Leaving tells that the sender stops.
+	// Leaving is set if the sender is stopping.
 	Leaving bool
 }
 
-// peer is what was last heard of one other process.
+// peer is the last report of one other process.
 type peer struct {
 	PeerReport
 	receivedAt time.Time
 }
 
-// peerReportTTL is when the last report of a silent peer no longer counts. Its
-// requests end within a second or two, or the process is gone. Of ten peers each is
-// heard every 0.6 s, of fifty every 3 s.
+// peerReportTTL is how long the last report of a silent peer counts. Its requests end
+// within a second or two, or the process is gone. Of ten peers each is received every
+// 0.6 s, of fifty every 3 s.
 const peerReportTTL = 3 * time.Second
 
-// OwnWork lists what this process has underway, for its peers.
+// OwnWork lists what this process has in flight, for its peers.
 func (d *Directory) OwnWork() []Work {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,7 +59,8 @@
 	return out
 }
 
-// ApplyPeerReport takes in what another process has underway.
+// ApplyPeerReport applies the report of another process, unless it is older than the last
+// one from that process.
 func (d *Directory) ApplyPeerReport(r PeerReport, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,7 +77,8 @@
 	d.peers[r.Sender] = peer{r, now}
 }
 
-// ExpirePeers drops the reports of peers that have fallen silent.
+// ExpirePeers drops the reports of peers that have been silent for longer than
+// peerReportTTL.
 func (d *Directory) ExpirePeers(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -88,7 +90,8 @@
 	}
 }
 
-// addPeerWork adds a report's work to the endpoints', or with sign -1 takes it out.
+// addPeerWork adds a report's work to the sums of its endpoints, or subtracts it if sign
+// is -1.
 func (d *Directory) addPeerWork(r PeerReport, sign int) {
 	if r.Domain == "" {
 		return
@@ -107,8 +110,8 @@
 	}
 }
 
-// peerWorkOf is the sum of what peers have underway at an endpoint. A report may name
-// one that this process has not discovered yet.
+// peerWorkOf returns the sum of what peers have in flight at an endpoint. It creates the sum
+// if needed: a report may name an endpoint that this process has not discovered yet.
 func (d *Directory) peerWorkOf(endpoint uint32) *Work {
 	sum := d.peerWork[endpoint]
 	if sum == nil {
--- a/internal/coordination/routing/peers_test.go
+++ b/internal/coordination/routing/peers_test.go
@@ -14,7 +14,8 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// workIDOf of an endpoint "eN" of directoryOf, whose incarnation is N+1; of any other 9.
+// workIDOf returns the WorkID of an endpoint "eN" of newDirectory, whose incarnation is N+1, or of
+// any other endpoint, with incarnation 9.
 func workIDOf(id string) uint32 {
 	if n, err := strconv.ParseUint(strings.TrimPrefix(id, "e"), 10, 64); err == nil {
 		return WorkID(id, n+1)
@@ -38,9 +39,9 @@
 
 // TestPeerReports lets another process fill one of two engines.
 //
-// Neither engine has answered this process lately, so only the other's report tells.
-// The idle one is chosen while the report stands; when the peer leaves, or falls
-// silent, its work no longer counts.
+// Neither engine has answered this process recently, so only the peer's report shows the load. The
+// idle engine is chosen while that report counts; after the peer reports no work, leaves or falls
+// silent, it no longer counts.
 func TestPeerReports(t *testing.T) {
 	busy := PeerReport{Sender: 7, Number: 2, Domain: "d", Work: []Work{newWork("e0", 20, 60_000)}}
 	chosen := func(d *Directory, now time.Time) map[string]int {
@@ -59,7 +60,7 @@
 	}{
 		{"reported", func(*Directory) {}, true},
 		{"an older report arrives late", func(d *Directory) { d.ApplyPeerReport(PeerReport{Sender: 7, Number: 1, Domain: "d"}, epoch) }, true},
-		{"another peer has nothing underway", func(d *Directory) { d.ApplyPeerReport(PeerReport{Sender: 8, Number: 1, Domain: "d"}, epoch) }, true},
+		{"another peer has nothing in flight", func(d *Directory) { d.ApplyPeerReport(PeerReport{Sender: 8, Number: 1, Domain: "d"}, epoch) }, true},
 		{"done", func(d *Directory) { d.ApplyPeerReport(PeerReport{Sender: 7, Number: 3, Domain: "d"}, epoch) }, false},
 		{"leaving", func(d *Directory) { d.ApplyPeerReport(PeerReport{Sender: 7, Number: 3, Leaving: true}, epoch) }, false},
 		{"silent", func(d *Directory) { d.ExpirePeers(epoch.Add(peerReportTTL + time.Second)) }, false},
@@ -71,13 +72,13 @@
 		row.change(d)
 		counts := chosen(d, epoch)
 		if (counts["e0"] == 0) != row.avoids {
-			t.Errorf("%s: chosen %v", row.name, counts)
+			t.Errorf("%s: got choices by endpoint %v", row.name, counts)
 		}
 	}
 }
 
-// TestPeerReportsOfUnknownEndpoints counts a report that comes before the endpoint is
-// discovered, and forgets sums of endpoints that nobody knows.
+// TestPeerReportsOfUnknownEndpoints checks that a report counts that arrives before its endpoint is
+// discovered, and that the sums of endpoints that stay unknown are removed.
 func TestPeerReportsOfUnknownEndpoints(t *testing.T) {
 	d, table := newDirectory(t, 1)
 	d.ApplyPeerReport(PeerReport{Sender: 7, Number: 1, Domain: "d", Work: []Work{newWork("late", 3, 500), newWork("never", 1, 1)}}, epoch)
@@ -87,20 +88,20 @@
 	}, epoch)
 	d.UsableMembers("s", epoch)
 	if got := d.tracked["late"].PeerWork.Running; got != 3 {
-		t.Errorf("%d runs of peers at an endpoint that was discovered later", got)
+		t.Errorf("got %d runs of peers at an endpoint that was discovered after the report, want 3", got)
 	}
 	d.ApplyPeerReport(PeerReport{Sender: 7, Number: 2, Leaving: true}, epoch)
 	d.removeDead(table.Members())
 	if len(d.peerWork) != 2 {
-		t.Errorf("sums of %d endpoints are kept, 2 are known", len(d.peerWork))
+		t.Errorf("got work sums of %d endpoints, want 2", len(d.peerWork))
 	}
 }
 
-// TestRestartedEndpointStartsEmpty lets an endpoint start again under its id while runs
-// of this process and of others are underway there, and contexts were sent there.
+// TestRestartedEndpointStartsEmpty restarts an endpoint under the same id while runs of this process
+// and of a peer are in flight there, after a context was sent there.
 //
-// The runs have ended with the earlier start: they must not make the new one look full, and
-// their late ends must not be counted there. It holds no context.
+// Those runs ended with the earlier incarnation: they must not make the new one look full, and their
+// outcomes, which arrive later, must not count for it. It holds no context.
 func TestRestartedEndpointStartsEmpty(t *testing.T) {
 	d, table := newDirectory(t, 1)
 	setCountsOnly(d, "e0")
@@ -114,12 +115,12 @@
 	d.UsableMembers("s", epoch)
 	e := d.tracked["e0"]
 	if e.Running != 0 || e.HeldTokens != 0 || e.PeerWork.Running != 0 || len(d.index.Lookup(keys, nil, epoch, nil)) != 0 {
-		t.Errorf("the new start has %+v, peers' %+v", e.RuntimeState, e.PeerWork)
+		t.Errorf("after the restart: got %+v, work of peers %+v, want none", e.RuntimeState, e.PeerWork)
 	}
 	d.ObserveLoad(inFlight, fleet.Load{Running: 40, AtMS: epoch.UnixMilli()}, epoch)
 	d.Done(inFlight, true, epoch)
 	if e.Running != 0 || e.Load.Running != 0 || e.failures != 0 {
-		t.Errorf("after the earlier start's end: %+v", e.RuntimeState)
+		t.Errorf("after the outcome of a run of the earlier incarnation: got %+v, want no change", e.RuntimeState)
 	}
 }
 
@@ -133,11 +134,11 @@
 	}
 	d.Done(c, false, epoch)
 	if own := d.OwnWork(); len(own) != 0 {
-		t.Errorf("after the end: %+v", own)
+		t.Errorf("after the run: got %+v, want no work", own)
 	}
 }
 
-// newEndpointsInDomains spreads n endpoints over three failure newEndpointsInDomains.
+// newEndpointsInDomains returns n endpoints in three failure domains, and those in domain d0.
 func newEndpointsInDomains(n int) (all, local []Endpoint) {
 	all = newEndpoints(n)
 	for i := range all {
@@ -147,63 +148,63 @@
 	return all, endpointsInDomain(all, "d0")
 }
 
-// TestLargeFleetStaysInLocalDomain decides before 55 engines.
+// TestLargeFleetStaysInLocalDomain decides between 55 engines in three failure domains.
 //
-// Engines of other domains look idle to a process that hears nothing of who else sends
-// them work: with a few of them among the candidates, half of all requests went there
-// together. They are looked at only when no near one can be used.
+// Engines of other domains look idle to a process that receives no reports of who else sends them
+// work. With a few of them among the candidates, half of all requests went there at the same time.
+// They may be candidates only if no local one can be used.
 func TestLargeFleetStaysInLocalDomain(t *testing.T) {
 	all, local := newEndpointsInDomains(55)
-	r, x := newRequest(), newRandom()
+	r, random := newRequest(), newRandom()
 	r.Domain, r.Local = "d0", local
 	for i := range local {
 		local[i].Load.QueuedTokens = 40_000
 	}
 	for range 200 {
-		r.PlacementHash = x.Uint64()
-		if v := Decide(all, r, x); v.Endpoint.Domain != "d0" {
-			t.Fatalf("sent to %s", v.Endpoint.Domain)
+		r.PlacementHash = random.Uint64()
+		if v := Decide(all, r, random); v.Endpoint.Domain != "d0" {
+			t.Fatalf("got an endpoint of domain %s, want d0", v.Endpoint.Domain)
 		}
 	}
 	for i := range local {
 		local[i].EjectedUntil = r.Now.Add(time.Second)
 	}
-	if v := Decide(all, r, x); v.Endpoint.Domain == "d0" {
-		t.Error("an ejected endpoint is preferred to other domains")
+	if v := Decide(all, r, random); v.Endpoint.Domain == "d0" {
+		t.Error("got an ejected local endpoint, want one of another domain")
 	}
 	r.Local = nil
-	if v := Decide(all, r, x); v.Endpoint == nil {
-		t.Error("a domain without endpoints is not served by the others")
+	if v := Decide(all, r, random); v.Endpoint == nil {
+		t.Error("got no endpoint for a domain without local endpoints, want one of another domain")
 	}
 }
 
-// TestPeerReportsShortenWaits plays ten processes before eighteen engines at three
-// quarters of their reading rate, with prompts of 800 and of 12,000 tokens.
+// TestPeerReportsShortenWaits simulates ten processes that load eighteen engines to three quarters of
+// their prefill rate, with prompts of 800 and of 12,000 tokens.
 //
-// Each process sees a queue of an engine only through its own requests, and those come
-// every second. When each tells the others every 250 ms what it has unread, the slowest
-// twentieth waits less: 456 instead of 588 ms.
+// Without peer reports, each process learns of an engine's queue only through its own requests, which
+// come every second. When each reports its unread tokens to the others every 250 ms, the slowest
+// twentieth of the prompts wait less: 456 ms instead of 588 ms.
 func TestPeerReportsShortenWaits(t *testing.T) {
 	without, with := simulatePeerReports(t, 0), simulatePeerReports(t, simProcesses-1)
-	t.Logf("wait of the slowest twentieth: %s alone, %s with shared work", without, with)
+	t.Logf("wait of the slowest twentieth: %s without peer reports, %s with them", without, with)
 	if with > without*85/100 {
-		t.Errorf("%s with shared work, %s without", with, without)
+		t.Errorf("wait of the slowest twentieth: got %s with peer reports and %s without, want at most 0.85 of the latter", with, without)
 	}
 }
 
-// peerReportSimulation is a load of prompts before engines that read one after the other.
+// peerReportSimulation is a load of prompts on engines that each compute one prompt at a time.
 type peerReportSimulation struct {
 	random *rand.Rand
 	now    time.Time
 	dirs   []*Directory
-	// idleAt is when each engine has read all that it was sent.
+	// idleAt is when each engine will have computed all prompts sent to it.
 	idleAt   map[string]time.Time
 	inFlight []inFlightPrompt
 	waits    []time.Duration
 	reports  uint64
 }
 
-// inFlightPrompt is a prompt until its engine has read it.
+// inFlightPrompt is a prompt that its engine has not computed yet.
 type inFlightPrompt struct {
 	prefilledAt time.Time
 	d           *Directory
@@ -213,12 +214,13 @@
 const (
 	simProcesses = 10
 	simEngines   = 18
-	// simPrefillRate is an engine's, in tokens per second.
+	// simPrefillRate is the rate of an engine, in tokens per second.
 	simPrefillRate    = 50_000
 	simReportInterval = 250 * time.Millisecond
 )
 
-// simulatePeerReports returns the wait of the slowest twentieth.
+// simulatePeerReports returns the 95th percentile of the prompts' waits. Every simReportInterval, each
+// process reports to fanout others.
 func simulatePeerReports(t *testing.T, fanout int) time.Duration {
 	const (
 		prompts    = 20_000
@@ -248,7 +250,7 @@
 	return p.waits[len(p.waits)*19/20]
 }
 
-// finishPrompts ends the prompts that have been read by now.
+// finishPrompts ends the prompts that have been computed by now.
 func (p *peerReportSimulation) finishPrompts() {
 	sort.Slice(p.inFlight, func(i, j int) bool { return p.inFlight[i].prefilledAt.Before(p.inFlight[j].prefilledAt) })
 	for len(p.inFlight) > 0 && !p.inFlight[0].prefilledAt.After(p.now) {
@@ -259,7 +261,7 @@
 	}
 }
 
-// report lets one process tell the next of the others.
+// report sends one process's report to the next fanout processes.
 func (p *peerReportSimulation) report(fanout int) {
 	from := int(p.reports % simProcesses)
 	round := int(p.reports / simProcesses)
@@ -285,7 +287,7 @@
 		begin = free
 	}
 	p.waits = append(p.waits, begin.Sub(p.now))
-	read := begin.Add(time.Duration(tokens) * time.Second / simPrefillRate)
-	p.idleAt[c.Member.ID] = read
-	p.inFlight = append(p.inFlight, inFlightPrompt{read, d, c})
+	prefilledAt := begin.Add(time.Duration(tokens) * time.Second / simPrefillRate)
+	p.idleAt[c.Member.ID] = prefilledAt
+	p.inFlight = append(p.inFlight, inFlightPrompt{prefilledAt, d, c})
 }
--- a/internal/coordination/routing/prompt_sizes_test.go
+++ b/internal/coordination/routing/prompt_sizes_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// simulatePromptSizes sends three times the runs that an engine's memory holds, of one kind and many
-// sizes, and refuses those whose wait is over the limit. It returns the served share of the
-// largest tenth, and of all.
-func simulatePromptSizes(usual int) (largest, all float64) {
+// simulatePromptSizes sends three times as many runs as an engine's memory can hold, of one kind and
+// many sizes, and refuses those whose expected wait exceeds a limit. It returns the served share of
+// the largest tenth, and of all.
+func simulatePromptSizes(meanHeldTokens int) (largest, all float64) {
 	const (
 		memory, mean = 100_000, 12_000
 		runTime      = time.Second
 		limit        = 360 * time.Millisecond
-		every        = 40 * time.Millisecond
-		length       = 4 * time.Minute
+		interval     = 40 * time.Millisecond
+		duration     = 4 * time.Minute
 	)
 	random := rand.New(rand.NewPCG(1, 1))
 	e := &Endpoint{RuntimeState: &RuntimeState{MemoryTokens: memory, RunTime: runTime, CountsOnly: true}}
@@ -26,9 +26,9 @@
 	}
 	var running []run
 	var arrived, served [2]float64
-	// A size above this one is in the largest tenth: the sizes are lognormal.
+	// The sizes are lognormal; deviations above tenth give the largest tenth of them.
 	const sigma, tenth = 0.6, 1.2816
-	for now := time.Duration(0); now < length; now += every {
+	for now := time.Duration(0); now < duration; now += interval {
 		for len(running) > 0 && running[0].end <= now {
 			e.HeldTokens -= running[0].tokens
 			running = running[1:]
@@ -41,7 +41,7 @@
 			class = 1
 		}
 		arrived[class]++
-		r := &Request{PromptTokens: tokens, HeldTokens: tokens, MeanHeldTokens: usual, Now: epoch.Add(now)}
+		r := &Request{PromptTokens: tokens, HeldTokens: tokens, MeanHeldTokens: meanHeldTokens, Now: epoch.Add(now)}
 		if evaluate(e, r, 0).wait > limit {
 			continue
 		}
@@ -54,17 +54,17 @@
 
 // TestLargePromptsAreNotStarved overloads an engine with one kind of request.
 //
-// A refusal by a prompt's own size lets the small ones keep the memory full, and the
-// largest never find room; their callers come back in vain. With the kind's usual size in
-// its place all have about the same chance.
+// If prompts are refused by their own size, small ones keep the memory full and the largest never
+// find free memory, however often their callers retry. By the mean size of their kind, all have
+// about the same chance.
 func TestLargePromptsAreNotStarved(t *testing.T) {
 	largest, all := simulatePromptSizes(0)
 	if largest > all/4 {
-		t.Errorf("by their own size %.2f of the largest and %.2f of all are served: the load shows nothing", largest, all)
+		t.Errorf("by their own size: %.2f of the largest and %.2f of all are served, so the load does not starve large prompts and the test shows nothing", largest, all)
 	}
 	largest, all = simulatePromptSizes(12_000)
 	if largest < 0.9*all {
-		t.Errorf("%.2f of the largest are served, of all %.2f", largest, all)
+		t.Errorf("by the mean size: %.2f of the largest and %.2f of all are served, want at least 0.9 of the share of all", largest, all)
 	}
-	t.Logf("%.2f of the largest are served, of all %.2f", largest, all)
+	t.Logf("by the mean size: %.2f of the largest and %.2f of all are served", largest, all)
 }
--- a/internal/coordination/routing/request.go
+++ b/internal/coordination/routing/request.go
@@ -6,62 +6,65 @@
 	"limpetwall/internal/state/config"
 )
 
-// UrgencyLevels is the number of ranks of requests; 0 goes first.
+// UrgencyLevels is the number of urgencies of requests; engines serve 0 first.
 const UrgencyLevels = 10
 
-// Holding tells that an endpoint probably has a context's first tokens resident.
+// Holding is the expectation that an endpoint's engine has a context's first tokens in
+// memory.
 type Holding struct {
 	// Endpoint is the hash of the endpoint's member id.
 	Endpoint uint64
 	Tokens   int
-	// Chance that they are still resident, 0 to 1.
+	// Chance is the probability that they are still resident, 0 to 1.
 	Chance float64
-	// Age since the endpoint last used them.
+	// Age is the time since the endpoint last used them.
 	Age time.Duration
-	// Preferred marks an expectation by computed placement, not by own knowledge.
+	// Preferred is set if the expectation comes from the endpoint being preferred for
+	// the context, not from what this process sent there.
 	Preferred bool
 }
 
-// Request is one decision's input.
+// Request is the input of one decision.
 type Request struct {
-	// PlacementHash names the context for computed placement, see RootOf; Directory sets it
-	// for prompts with keys.
+	// PlacementHash determines the preferred endpoints, see the function PlacementHash.
+	// Directory sets it for prompts with keys, unless PlacementHashKnown.
 	PlacementHash uint64
-	// PromptTokens is the prompt's whole length, ContextTokens the part of it that
-	// engines keep.
+	// PromptTokens is the prompt's whole length, ContextTokens the length of the
+	// prefix that engines cache.
 	PromptTokens  int
 	ContextTokens int
-	// KnownTokens of the context were last seen Gap ago; the rest is new.
+	// KnownTokens of the context were last used KnownAge ago; the rest is new.
 	KnownTokens int
 	KnownAge    time.Duration
 	Holdings    []Holding
-	// HoldingsKnown: Holdings are given, from what engines say of their memory.
+	// HoldingsKnown is set if Holdings are given, as engines report their memory's
+	// contents.
 	HoldingsKnown bool
-	// ImportShare is the share of a missing context that stores are found to
-	// hold for requests like this one.
+	// ImportShare is the share of missing tokens that stores were found to hold for
+	// requests like this one.
 	ImportShare float64
-	// SegmentsKnown: stores and engines have told which of the context's parts they hold,
-	// as Imports says in order; ImportChance is not used then.
+	// SegmentsKnown is set if stores and engines have reported which of the context's
+	// segments they hold. Segments lists them in order, and ImportShare is not used.
 	SegmentsKnown bool
 	Segments      []Segment
-	// ChunkEnds holds the tokens up to the end of each piece of context; nil if all have
-	// the same size.
+	// ChunkEnds holds, for each chunk of the context, the number of tokens up to its
+	// end; nil if all chunks have the same size.
 	ChunkEnds []int
-	// PlacementHashKnown keeps Root as given.
+	// PlacementHashKnown makes Directory keep PlacementHash as given.
 	PlacementHashKnown bool
-	// HeldTokens of engine memory that the run takes, and MeanHeldTokens what runs of its kind
-	// take in the mean; 0 if that is not known.
+	// HeldTokens is the engine memory that the run occupies, and MeanHeldTokens what
+	// runs of its kind occupy on average; 0 if that is not known.
 	HeldTokens, MeanHeldTokens int
-	// CrossDomainPenalty is what sending the request to another failure domain weighs,
-	// in seconds of waiting, beside the longer way.
+	// CrossDomainPenalty is the cost, in seconds of waiting, of sending the request to
+	// another failure domain, in addition to the longer round trip.
 	CrossDomainPenalty float64
-	// Urgency of the request, 0 to 9: engines serve lower ones first.
+	// Urgency is 0 to 9; engines serve lower ones first.
 	Urgency   int
 	Objective config.Objective
-	// Domain of the deciding entry.
+	// Domain is the failure domain of the deciding process.
 	Domain string
-	// Local are the endpoints of that domain, ordered by Hash; nil does not tell them
-	// apart from the others.
+	// Local are the endpoints of that domain, ordered by Hash; if nil, candidates are
+	// sampled without regard to failure domains.
 	Local []Endpoint
 	// WeightVersion, if set, is the only one accepted (a resumed run).
 	WeightVersion string
@@ -70,11 +73,11 @@
 	Now     time.Time
 }
 
-// Segment is a part of a context as stores and engines know it.
+// Segment is one segment of a context, as stores and engines report it.
 type Segment struct {
 	Tokens int
-	// Stored tells that one of them holds the part whole: Domain is its own, and Time what
-	// the transfer takes within it.
+	// Stored is set if a store or an engine holds the whole segment. Domain is its
+	// failure domain, and TransferTime the duration of a transfer within that domain.
 	Stored       bool
 	Domain       string
 	TransferTime time.Duration
--- a/internal/coordination/routing/routing.go
+++ b/internal/coordination/routing/routing.go
@@ -1,6 +1,7 @@
-// Package routing decides which endpoint serves a prompt. A decision runs
-// filter, then scorers, then a picker over a few candidates; it is pure: state
-// and random numbers come in, a verdict goes out.
+// Package routing decides which endpoint serves a request. A decision filters the
+// endpoints, scores a few candidates and picks the best. Decide is a pure function
+// of the endpoints' state, the request and random numbers; Directory holds that
+// state. A run is the execution of one request at an endpoint.
 package routing
 
 import (
@@ -15,101 +16,107 @@
 )
 
 const (
-	// scanLimit is the number of endpoints up to which a decision looks at all.
+	// scanLimit is the number of endpoints up to which a decision considers all of them.
 	scanLimit = 16
-	// preferredCount is the number of endpoints that computed placement gives a context.
+	// preferredCount is the number of preferred endpoints that consistent hashing gives
+	// a context.
 	preferredCount = 2
-	// randomCandidates is the number of random candidates beside them.
+	// randomCandidates is the number of random candidates in addition to the preferred
+	// endpoints.
 	randomCandidates = 2
-	// holderCandidates is the number of holders of the context that are looked at, those of
-	// most of it.
+	// holderCandidates is the number of candidates among the endpoints that hold part of
+	// the context: those that hold most of it.
 	holderCandidates = 4
 	// localCandidates is the number of random candidates in the deciding process's own
-	// failure domain, where it is told apart.
+	// failure domain, for requests with Request.Local set.
 	localCandidates = 4
-	// maxCandidates bounds one decision.
+	// maxCandidates bounds the candidates of one decision.
 	maxCandidates = scanLimit + 4
-	// defaultPrefillRate is assumed of an endpoint that has reported none, in
-	// tokens per second.
+	// defaultPrefillRate, in tokens per second, is assumed of an endpoint without a
+	// known prefill rate.
 	defaultPrefillRate = 8000
-	// assumedRunTime is used before a run of an endpoint has ended.
+	// assumedRunTime is used for an endpoint until one of its runs has ended.
 	assumedRunTime = 100 * time.Millisecond
-	// crossDomainDelay is the added round trip to another failure domain.
+	// crossDomainDelay is the additional round-trip time to another failure domain.
 	crossDomainDelay = time.Millisecond
-	// slowStart is how long a new endpoint's estimate is raised: the first
-	// requests after a start meet cold caches, and a herd would meet them together.
+	// slowStart is how long a new endpoint's estimated wait is raised, by
+	// slowStartPenalty at first and then linearly less: the first requests after a
+	// start find cold caches, and without it many would find them at the same time.
 	slowStart        = 10 * time.Second
 	slowStartPenalty = 50 * time.Millisecond
-	// evictionCost is what bringing a token of context into an engine's memory
-	// costs later, in its own computation: memory is full, so it pushes out what
-	// returns elsewhere and pushes out more. The value is measured, see
+	// evictionCost is the later cost of bringing a token of context into an engine's
+	// memory, in multiples of computing that token. Memory is full, so the token
+	// evicts other context, which is then brought in elsewhere and evicts more. See
 	// docs/BENCHMARKS.md.
 	evictionCost = 16.0
-	// latenessWeight is what a second beyond the service's objective costs at least. A
-	// whole second's weight would be what the caller feels, but near saturation all
-	// endpoints are late, and fleeing from one to the next costs more computation
-	// than it saves waiting; the value is measured, see docs/BENCHMARKS.md.
+	// latenessWeight is the least that a second beyond the service's objective costs.
+	// 1 would be what the caller feels, but near saturation all endpoints are late,
+	// and moving from one to the next costs more computation than it saves in waiting.
+	// See docs/BENCHMARKS.md.
 	latenessWeight = 0.25
-	// fullCostAge is the time between returns from which a context pays the whole
-	// price; one that returns sooner shares it among its uses.
+	// fullCostAge is the reuse interval from which a context bears the whole
+	// evictionCost; a context that is reused sooner spreads it over its uses.
 	fullCostAge = time.Minute
 )
 
-// Endpoint is what a decision knows of one endpoint.
+// Endpoint is what a decision knows about one endpoint.
 type Endpoint struct {
 	fleet.Member
-	// Hash of the id, for computed placement.
+	// Hash is the HashID of the endpoint's id, its position on the hash ring.
 	Hash uint64
-	// MaxConcurrent bounds the runs from this entry (0: no bound).
+	// MaxConcurrent bounds the runs from this process (0: no bound).
 	MaxConcurrent int
 	*RuntimeState
 }
 
-// RuntimeState is what changes with every run; the services that share an endpoint
-// share it.
+// RuntimeState is the state of an endpoint that changes with every run. Services that
+// use the same endpoint share it.
 type RuntimeState struct {
 	// Load as last reported.
 	Load fleet.Load
-	// SentTokens are prompt tokens this entry sent since the report, SentRuns runs.
+	// SentTokens and SentRuns count the prompt tokens and runs that this process sent
+	// after Load was taken.
 	SentTokens int
 	SentRuns   int
-	// Running runs from this entry.
+	// Running counts the runs from this process.
 	Running int
-	// EjectedUntil keeps an endpoint that failed repeatedly out of decisions.
+	// EjectedUntil is until when the endpoint is used only if there is no other,
+	// because it failed, was unreachable or refused a run.
 	EjectedUntil time.Time
-	// FirstSeen is when this incarnation appeared.
+	// FirstSeen is when this process first saw this incarnation of the endpoint. For
+	// those found at its own start it is slowStart earlier.
 	FirstSeen time.Time
 	// Slots is how many requests the endpoint runs at once, 0 if unknown; further
 	// ones wait there.
 	Slots int
 	// MemoryTokens is the engine's memory for context and running requests, 0 if
-	// unknown; HeldTokens is what this entry's own runs take of it.
+	// unknown; HeldTokens is what this process's runs occupy of it.
 	MemoryTokens, HeldTokens int
-	// RunTime is the mean length of whole runs.
+	// RunTime is the moving average of how long whole runs take.
 	RunTime time.Duration
-	// Unread is the prompt tokens of this entry's runs that have not begun to answer,
-	// by urgency. It stands for the queue where reports hold no tokens.
+	// Unread is the prompt tokens, by urgency, of this process's runs that have not
+	// begun to answer. It replaces the reported queue where reports hold no tokens.
 	Unread [UrgencyLevels]int
-	// CountsOnly tells that the endpoint's reports hold counts of requests, but no
-	// tokens.
+	// CountsOnly is set if the endpoint's reports hold counts of requests, but no
+	// tokens and no rates.
 	CountsOnly bool
-	// ModelRate is how fast the model's engines read, and RatesSeen how often this one was
-	// seen, where reports hold no rate.
+	// ModelRate is the mean prefill rate of the model's engines, and RateSamples how
+	// many observations of this engine's own rate count, for reports without rates.
 	ModelRate   *modelRate
 	RateSamples int
-	// PeerFactor is how much of the endpoint's work this entry's own stands for: all of
-	// it divided by its own.
+	// PeerFactor is the ratio of all runs at the endpoint to those of this process, 0 if
+	// unknown.
 	PeerFactor float64
 	// LoadArrivedAt is when Load arrived.
 	LoadArrivedAt time.Time
-	// PeerWork is what other processes say that they have underway at the endpoint.
-	// Shared tells that those of its failure domain, who send it most, do say so; what
-	// is learned as Peers is not used then.
+	// PeerWork is what other processes report to have in flight at the endpoint.
+	// HasPeerReports is set if processes of the endpoint's failure domain, which send
+	// it most of its work, do report; PeerFactor is not used then.
 	PeerWork       *Work
 	HasPeerReports bool
 }
 
-// Reason names why a candidate was looked at.
+// Reason is why an endpoint became a candidate.
 type Reason string
 
 // Reasons of candidates.
@@ -120,31 +127,31 @@
 	ReasonAll          Reason = "all"
 )
 
-// Decision is a decision.
+// Decision is the result of Decide: an endpoint with the expected cost, or a refusal.
 type Decision struct {
 	Endpoint *Endpoint
 	Reason   Reason
 	// TTFT is the expected time to first token, Wait the part of it before the
-	// endpoint begins with the request.
+	// endpoint starts on the request.
 	TTFT, Wait time.Duration
 	// CapacityWait is the part of Wait that is for a slot and memory.
 	CapacityWait time.Duration
-	// CachedTokens expected to be found resident.
+	// CachedTokens is how many prompt tokens are expected to be in the engine's memory.
 	CachedTokens int
-	// WorkTokens expected to be computed.
+	// WorkTokens is how many prompt tokens are expected to be computed.
 	WorkTokens int
-	// Refusal says why there is no endpoint.
+	// Refusal is why there is no endpoint.
 	Refusal Refusal
 }
 
-// Refusal tells why no endpoint was chosen.
+// Refusal is why no endpoint was chosen.
 type Refusal string
 
 // The refusals.
 const (
 	// RefusalNoneUsable: no endpoint is usable.
 	RefusalNoneUsable Refusal = "none_usable"
-	// RefusalAllFull: the usable ones are at their bound.
+	// RefusalAllFull: the usable ones are at their MaxConcurrent.
 	RefusalAllFull Refusal = "all_full"
 )
 
@@ -153,11 +160,11 @@
 	Uint64() uint64
 }
 
-// HashID is an endpoint's place in computed placement.
+// HashID returns the position of an endpoint's id on the hash ring.
 func HashID(id string) uint64 { return xxhash.Sum64String(id) }
 
-// PlacementHash names a prompt's context: the key of its first piece, or a hash of the
-// text where it has none.
+// PlacementHash returns the hash that determines a prompt's preferred endpoints: the
+// first 8 bytes of the key of its first chunk, or a hash of the text if it has no keys.
 func PlacementHash(keys []contextkey.Key, text string) uint64 {
 	if len(keys) > 0 {
 		return binary.LittleEndian.Uint64(keys[0][:])
@@ -165,7 +172,7 @@
 	return xxhash.Sum64String(text)
 }
 
-// isEligible tells whether an endpoint may serve a request at all.
+// isEligible reports whether an endpoint may serve a request at all.
 func isEligible(e *Endpoint, r *Request) bool {
 	if r.WeightVersion != "" && e.Endpoint.WeightVersion != r.WeightVersion {
 		return false
@@ -182,10 +189,10 @@
 	return e.MaxConcurrent > 0 && e.Running >= e.MaxConcurrent
 }
 
-// Decide picks an endpoint. Large fleets are not scanned: candidates are the
-// holders of the context, its homes by rendezvous hashing and some random ones.
-// Entries that decide on the same report draw different random candidates, so
-// they do not all meet at the endpoint that looked idle.
+// Decide picks an endpoint. Large fleets are not scanned: the candidates are the
+// endpoints that hold the context, its preferred endpoints by consistent hashing and
+// some random ones. Processes that decide on the same load report draw different
+// random candidates, so that they do not all choose the endpoint that looked idle.
 func Decide(endpoints []Endpoint, r *Request, random Random) Decision {
 	var set candidateSet
 	if len(endpoints) <= scanLimit {
@@ -195,7 +202,7 @@
 	} else {
 		set.sample(endpoints, r, random)
 		if set.n == 0 {
-			// Everything chosen is filtered out: look at all rather than refuse.
+			// All sampled endpoints are filtered out: consider all rather than refuse.
 			set.addAll(endpoints, r)
 		}
 	}
@@ -236,7 +243,8 @@
 	}
 }
 
-// sample needs endpoints ordered by Hash.
+// sample adds candidates of a fleet that is too large to scan; endpoints must be
+// ordered by Hash.
 func (c *candidateSet) sample(endpoints []Endpoint, r *Request, random Random) {
 	c.addHolders(endpoints, r, random)
 	ring := endpoints
@@ -254,17 +262,17 @@
 	}
 }
 
-// addHolders adds the endpoints that hold most of the context. Where all prompts of a kind begin
-// alike, every endpoint holds their beginning: 36 of them filled a decision's candidates, so
-// that the one with the whole context was left out as often as not, and so were homes and random
-// ones. All processes then chose the least busy of the same endpoints: the busiest had 2.7 of
-// the mean's work.
+// addHolders adds the endpoints that hold most of the context. Where all prompts of a kind share
+// a prefix, every endpoint holds that prefix. Without the limit, 36 such endpoints filled the
+// candidate set: the one with the whole context was left out about half of the time, and so were
+// preferred and random endpoints. All processes then chose the least busy of the same endpoints,
+// and the busiest had 2.7 times the mean work.
 func (c *candidateSet) addHolders(endpoints []Endpoint, r *Request, random Random) {
 	n := len(r.Holdings)
 	if n == 0 {
 		return
 	}
-	// A random start decides between those that hold as much.
+	// A random start breaks ties between endpoints that hold equally much.
 	start := int(random.Uint64() % uint64(n))
 	var added [holderCandidates]int
 	for k := range min(n, holderCandidates) {
@@ -282,7 +290,7 @@
 	}
 }
 
-// addHealthy adds n endpoints that are not avoided, from a random one on.
+// addHealthy adds up to n endpoints that are not degraded, starting at a random one.
 func (c *candidateSet) addHealthy(endpoints []Endpoint, n int, r *Request, random Random) {
 	start := int(random.Uint64() % uint64(len(endpoints)))
 	for i := range endpoints {
@@ -297,7 +305,7 @@
 	}
 }
 
-// hasHealthy tells whether a candidate is neither ejected nor suspect.
+// hasHealthy reports whether any candidate is not degraded.
 func (c *candidateSet) hasHealthy(r *Request) bool {
 	for i := range c.n {
 		if !c.list[i].endpoint.isDegraded(r.Now) {
@@ -313,14 +321,15 @@
 	}
 }
 
-// ringProbes is the number of places on the ring that a context is hashed to.
+// ringProbes is the number of positions on the hash ring that a context is hashed to.
 const ringProbes = 21
 
-// preferredEndpoints gives a context its homes: of several places that its root hashes to
-// on the ring of endpoints, those closest before an endpoint. A single place
-// would follow the uneven gaps of the ring (with nine endpoints one may own a
-// third of it); the closest of 21 evens them out without a table of virtual
-// points. A lost endpoint moves only its own contexts.
+// preferredEndpoints returns the preferred endpoints of a context by multi-probe
+// consistent hashing: the placement hash gives ringProbes positions on the ring of
+// endpoints, and the endpoints that follow most closely after a position are preferred.
+// A single position would reproduce the uneven gaps of the ring (with nine endpoints, one
+// may own a third of it); the closest of 21 evens them out without a table of virtual
+// nodes. Losing an endpoint moves only its own contexts.
 func preferredEndpoints(endpoints []Endpoint, placementHash uint64) [preferredCount]*Endpoint {
 	var found [preferredCount]*Endpoint
 	var distance [preferredCount]uint64
@@ -345,7 +354,7 @@
 	return found
 }
 
-// splitMix64 is the finalizer of SplitMix64 after one step of its sequence.
+// splitMix64 returns SplitMix64's output after one step from state x.
 func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -353,6 +362,8 @@
 	return x ^ x>>31
 }
 
+// searchHash returns the index of the first endpoint with at least the given hash, or
+// len(endpoints).
 func searchHash(endpoints []Endpoint, hash uint64) int {
 	low, high := 0, len(endpoints)
 	for low < high {
@@ -379,15 +390,15 @@
 		best.Refusal = RefusalAllFull
 	}
 	bestScore := 0.0
-	// A random start decides between equals.
+	// A random start breaks ties between equal scores.
 	start := 0
 	if c.n > 0 {
 		start = int(random.Uint64() % uint64(c.n))
 	}
-	price := c.meanQueueDepth(r)
+	queueDepth := c.meanQueueDepth(r)
 	for i := range c.n {
 		cand := c.list[(start+i)%c.n]
-		e := evaluate(cand.endpoint, r, price)
+		e := evaluate(cand.endpoint, r, queueDepth)
 		if best.Endpoint == nil || e.score < bestScore {
 			best = Decision{Endpoint: cand.endpoint, Reason: cand.reason, TTFT: e.ttft, Wait: e.wait, CapacityWait: e.capacityWait, CachedTokens: e.cached, WorkTokens: e.recomputed}
 			bestScore = e.score
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -40,20 +40,20 @@
 	rows := []struct {
 		name   string
 		change func(e []Endpoint, r *Request)
-		// want is the position of the endpoint chosen, -1 for none.
+		// want is the index of the expected endpoint, -1 for none.
 		want    int
 		refusal Refusal
 	}{
 		{"the holder of the context", func(e []Endpoint, r *Request) {
 			r.Holdings = []Holding{{Endpoint: e[2].Hash, Tokens: 8000, Chance: 0.9}}
 		}, 2, ""},
-		{"the idle one when none holds it", func(e []Endpoint, _ *Request) {
+		{"the idle one if none holds the context", func(e []Endpoint, _ *Request) {
 			for i := range e {
 				e[i].Load.QueuedTokens = 50_000
 			}
 			e[1].Load.QueuedTokens = 0
 		}, 1, ""},
-		{"not a holder that drowns", func(e []Endpoint, r *Request) {
+		{"not a holder that is overloaded", func(e []Endpoint, r *Request) {
 			r.Holdings = []Holding{{Endpoint: e[2].Hash, Tokens: 8000, Chance: 0.9}}
 			for i := range e {
 				e[i].Load.QueuedTokens = 1000
@@ -72,9 +72,9 @@
 			e[3].Endpoint.WeightVersion = "v2"
 			e[3].Load.QueuedTokens = 1_000_000
 		}, 3, ""},
-		{"none of the version", func(_ []Endpoint, r *Request) { r.WeightVersion = "v3" }, -1, RefusalNoneUsable},
+		{"none has the weight version", func(_ []Endpoint, r *Request) { r.WeightVersion = "v3" }, -1, RefusalNoneUsable},
 		{"not those already tried", func(e []Endpoint, r *Request) { r.Exclude = []string{e[0].ID, e[1].ID, e[2].ID} }, 3, ""},
-		{"not one that is full", func(e []Endpoint, _ *Request) {
+		{"not a full one", func(e []Endpoint, _ *Request) {
 			for i := range e {
 				e[i].MaxConcurrent, e[i].Running = 1, 1
 			}
@@ -92,7 +92,7 @@
 			e[1].EjectedUntil = time.Time{}
 			e[1].Load.QueuedTokens = 1_000_000
 		}, 1, ""},
-		{"a suspect only if there is no other", func(e []Endpoint, _ *Request) {
+		{"a suspected one only if there is no other", func(e []Endpoint, _ *Request) {
 			for i := range e {
 				e[i].State = fleet.Suspect
 			}
@@ -106,18 +106,18 @@
 		v := Decide(e, r, newRandom())
 		switch {
 		case row.want < 0 && (v.Endpoint != nil || v.Refusal != row.refusal):
-			t.Errorf("%s: %+v", row.name, v)
+			t.Errorf("%s: got %+v, want a refusal", row.name, v)
 		case row.want >= 0 && (v.Endpoint == nil || v.Endpoint.ID != e[row.want].ID):
-			t.Errorf("%s: %+v, want %s", row.name, v.Endpoint, e[row.want].ID)
+			t.Errorf("%s: got %+v, want %s", row.name, v.Endpoint, e[row.want].ID)
 		}
 	}
 }
 
-// TestObjectiveWeightsDecide gives the same state to both users' weights.
+// TestObjectiveWeightsDecide decides on the same state with two sets of weights.
 //
-// The context is held by an endpoint with a queue of a few seconds; a fast link
-// could bring it to an idle one. Who waits at the dock goes to the idle one;
-// who minds recomputation and links waits for the holder.
+// An endpoint with a queue of a few seconds holds the context, and another is idle. An
+// objective that weighs waiting chooses the idle one; one that weighs recomputation and
+// links chooses the holder.
 func TestObjectiveWeightsDecide(t *testing.T) {
 	rows := []struct {
 		objective config.Objective
@@ -133,12 +133,13 @@
 		r.Holdings = []Holding{{Endpoint: e[0].Hash, Tokens: 8000, Chance: 1}}
 		e[0].Load.QueuedTokens = 60_000
 		if v := Decide(e, r, newRandom()); v.Endpoint.ID != e[row.want].ID {
-			t.Errorf("%+v chose %s", row.objective, v.Endpoint.ID)
+			t.Errorf("objective %+v: got %s", row.objective, v.Endpoint.ID)
 		}
 	}
 }
 
-// TestPreferredEndpointsAreEven places many contexts on few and many endpoints.
+// TestPreferredEndpointsAreEven computes the preferred endpoints of many contexts, for few and for
+// many endpoints: no endpoint may be the first choice of more than twice the mean.
 func TestPreferredEndpointsAreEven(t *testing.T) {
 	for _, n := range []int{9, 94, 940} {
 		e := newEndpoints(n)
@@ -148,7 +149,7 @@
 		for range n * each {
 			preferred := preferredEndpoints(e, r.Uint64())
 			if preferred[0] == preferred[1] {
-				t.Fatal("both homes are one endpoint")
+				t.Fatal("both preferred endpoints are the same")
 			}
 			counts[preferred[0].ID]++
 		}
@@ -156,14 +157,15 @@
 		for _, c := range counts {
 			most = max(most, c)
 		}
-		t.Logf("%d endpoints: the fullest has %.2f of the mean", n, float64(most)/each)
+		t.Logf("%d endpoints: the fullest has %.2f times the mean", n, float64(most)/each)
 		if most > 2*each || len(counts) < n*95/100 {
-			t.Errorf("%d endpoints: the fullest has %d of %d, %d are used", n, most, each, len(counts))
+			t.Errorf("%d endpoints: the fullest has %d contexts (mean %d, want at most twice that), and %d are used (want 0.95 of them)", n, most, each, len(counts))
 		}
 	}
 }
 
-// TestSharedPrefixHasNoSinglePreferredEndpoint lets many contexts begin with the same piece.
+// TestSharedPrefixHasNoSinglePreferredEndpoint computes the placement keys of many contexts that begin
+// with the same chunk. If they kept that chunk's key, all would have the same preferred endpoints.
 func TestSharedPrefixHasNoSinglePreferredEndpoint(t *testing.T) {
 	x := NewIndex(1000)
 	roots := map[contextkey.Key]int{}
@@ -172,12 +174,12 @@
 		roots[x.PlacementKey(keys)]++
 	}
 	if roots[contextkey.Key{1}] > 2*minSharedBranches {
-		t.Errorf("%d contexts have the shared piece as root", roots[contextkey.Key{1}])
+		t.Errorf("%d contexts have the shared chunk as placement key", roots[contextkey.Key{1}])
 	}
 	own := []contextkey.Key{{9}, {8}, {7}}
 	for range 50 {
 		if x.PlacementKey(own) != own[0] {
-			t.Fatal("a context that shares nothing lost its root")
+			t.Fatal("the placement key of a context that shares nothing has changed")
 		}
 	}
 }
@@ -188,7 +190,7 @@
 		x.Add([]contextkey.Key{{byte(i), byte(i >> 8)}}, uint64(i)+1, epoch)
 	}
 	if x.Len() > 200 {
-		t.Errorf("%d pieces kept", x.Len())
+		t.Errorf("got %d chunks in the index, want at most 200", x.Len())
 	}
 	keys := []contextkey.Key{{200, 200}, {201, 200}}
 	x.Add(keys, 7, epoch)
@@ -201,11 +203,11 @@
 		x.ObserveHit(found[0], 0)
 	}
 	if after := x.Lookup(keys, nil, epoch.Add(time.Minute), nil)[0].Chance; after > before/4 {
-		t.Errorf("chance %g after 50 misses, %g before", after, before)
+		t.Errorf("chance: got %g after 50 misses, %g before, want at most a fourth", after, before)
 	}
 }
 
-// newDirectory is a directory before n engines.
+// newDirectory returns a directory of n engines, and its fleet table.
 func newDirectory(t testing.TB, n int) (*Directory, *fleet.Table) {
 	table := fleet.NewTable(fleet.DefaultConfig(), fleet.Member{ID: "entry", Domain: "d"}, epoch)
 	for i := range n {
@@ -224,12 +226,12 @@
 	return NewDirectory(table, store, 1000, 1), table
 }
 
-// TestOlderReportsAreIgnored mixes loads that came with answers and older ones that
-// were underway in the fleet.
+// TestOlderReportsAreIgnored mixes loads that came with answers and older ones that arrive
+// later through gossip.
 //
-// The decision goes by the newest stamp of the agent's own clock, whatever the
-// order of arrival, and keeps counting what was sent after it was taken. The
-// agent's clock is an hour ahead.
+// The load with the newest timestamp by the agent's own clock counts, whatever the order of
+// arrival, and what was sent after it was taken still counts. The agent's clock is an hour
+// ahead.
 func TestOlderReportsAreIgnored(t *testing.T) {
 	d, table := newDirectory(t, 1)
 	now := epoch.Add(time.Minute)
@@ -242,16 +244,16 @@
 	d.ApplyReports()
 	e := d.tracked["e0"]
 	if e.Load.QueuedTokens != 100 || e.SentTokens != 500 {
-		t.Errorf("an older report won: %+v", e.RuntimeState)
+		t.Errorf("after an older report: got %+v, want 100 queued and 500 sent tokens", e.RuntimeState)
 	}
 	table.SetReport(fleet.Report{Incarnation: 1, Version: 10, Load: fleet.Load{QueuedTokens: 300, AtMS: stamp(now.Add(500 * time.Millisecond))}, At: now.Add(3 * time.Second)})
 	d.ApplyReports()
 	if e.Load.QueuedTokens != 300 || e.SentTokens != 500 {
-		t.Errorf("a report taken before the send: %+v", e.RuntimeState)
+		t.Errorf("after a report taken before the send: got %+v, want 300 queued and 500 sent tokens", e.RuntimeState)
 	}
 	d.ObserveLoad(answered, fleet.Load{QueuedTokens: 600, AtMS: stamp(now.Add(2 * time.Second))}, now.Add(2*time.Second))
 	if e.Load.QueuedTokens != 600 || e.SentTokens != 0 || e.SentRuns != 0 {
-		t.Errorf("a load taken after the send: %+v", e.RuntimeState)
+		t.Errorf("after a load taken after the send: got %+v, want 600 queued and no sent tokens", e.RuntimeState)
 	}
 }
 
@@ -264,15 +266,16 @@
 	}
 	e := d.tracked["e0"]
 	if !e.EjectedUntil.After(now) || e.EjectedUntil.After(now.Add(minEjection)) {
-		t.Errorf("ejected until %s", e.EjectedUntil.Sub(now))
+		t.Errorf("got ejected for %s, want more than 0 and at most a second", e.EjectedUntil.Sub(now))
 	}
 	d.Done(choose(), false, now)
 	if e.ejections != 0 || e.Running != 0 {
-		t.Errorf("after a success: %+v", e)
+		t.Errorf("after a success: got %+v, want no ejections and no runs", e)
 	}
 }
 
-// FuzzDecide looks that no decision names an endpoint that must not serve.
+// FuzzDecide checks that no decision chooses an endpoint that is excluded, full or has another
+// weight version.
 func FuzzDecide(f *testing.F) {
 	f.Add(uint8(3), uint64(1), "v1", int32(100), int32(50), uint8(7))
 	f.Add(uint8(200), uint64(9), "", int32(-1), int32(1<<30), uint8(0))
@@ -294,39 +297,39 @@
 			return
 		}
 		if version != "" && v.Endpoint.Endpoint.WeightVersion != version {
-			t.Error("another weight version")
+			t.Error("got an endpoint with another weight version")
 		}
 		if v.Endpoint.ID == q.Exclude[0] || v.Endpoint.Running >= 1 {
-			t.Error("an endpoint that is excluded or full")
+			t.Error("got an endpoint that is excluded or full")
 		}
 	})
 }
 
 func TestDecideAllocatesNothing(t *testing.T) {
-	e, r, x := newEndpoints(940), newRequest(), newRandom()
+	e, r, random := newEndpoints(940), newRequest(), newRandom()
 	r.Holdings = []Holding{{Endpoint: e[5].Hash, Tokens: 8000, Chance: 0.5}}
-	if n := testing.AllocsPerRun(100, func() { r.PlacementHash++; Decide(e, r, x) }); n != 0 {
-		t.Errorf("%g allocations", n)
+	if n := testing.AllocsPerRun(100, func() { r.PlacementHash++; Decide(e, r, random) }); n != 0 {
+		t.Errorf("got %g allocations per decision, want 0", n)
 	}
 }
 
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{12, 940} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			e, r, x := newEndpoints(n), newRequest(), newRandom()
+			e, r, random := newEndpoints(n), newRequest(), newRandom()
 			b.ReportAllocs()
 			for b.Loop() {
 				r.PlacementHash++
-				Decide(e, r, x)
+				Decide(e, r, random)
 			}
 		})
 	}
 }
 
-// TestImportableSegments lets stores hold some of a context's parts.
+// TestImportableSegments lets stores hold some of a context's segments.
 //
-// What stands behind a part that neither the engine nor a store holds is read, and a part
-// that the engine keeps needs no store.
+// What follows a segment that neither the engine nor a store holds must be computed, and a segment
+// that the engine has cached needs no store.
 func TestImportableSegments(t *testing.T) {
 	rows := []struct {
 		stored [3]bool
@@ -347,12 +350,12 @@
 		}
 		got := r.importableTokens(row.cached)
 		if got != row.want {
-			t.Errorf("%v, %d cached: %d tokens can be imported, want %d", row.stored, row.cached, got, row.want)
+			t.Errorf("stored %v, %d tokens cached: got %d importable tokens, want %d", row.stored, row.cached, got, row.want)
 		}
 		local, remote := &Endpoint{Member: fleet.Member{Domain: "d"}}, &Endpoint{Member: fleet.Member{Domain: "e"}}
 		took := r.transferTime(local, row.cached, got)
 		if took != time.Duration(got)*time.Millisecond || r.transferTime(remote, row.cached, got) != 2*took {
-			t.Errorf("%v, %d cached: the transfer takes %s", row.stored, row.cached, took)
+			t.Errorf("stored %v, %d tokens cached: got a transfer of %s within the domain, want 1 ms per token, and twice that to another domain", row.stored, row.cached, took)
 		}
 	}
 }
--- a/internal/coordination/routing/tracked.go
+++ b/internal/coordination/routing/tracked.go
@@ -6,38 +6,40 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// trackedEndpoint is what this process knows of one endpoint, and has done to it.
+// trackedEndpoint is what this process knows about one endpoint and has sent to it.
 type trackedEndpoint struct {
 	RuntimeState
 	incarnation uint64
 	domain      string
-	// loadTakenMS of the newest load, by the agent's clock, and the smallest difference
-	// seen between this entry's clock and such stamps.
+	// loadTakenMS is when the newest load was taken, by the agent's clock. clockOffset is
+	// the smallest difference so far between this process's clock at a load's arrival and
+	// the load's timestamp.
 	loadTakenMS int64
 	clockOffset time.Duration
-	// unreportedSends since the newest load, oldest first.
+	// unreportedSends are the sends since the newest load was taken, oldest first.
 	unreportedSends []send
 	failures        int
 	ejections       int
-	// assumedRate is the prefill rate before any was learned, in tokens per second.
+	// assumedRate is the prefill rate before any was observed, in tokens per second.
 	assumedRate float64
-	// meanAllRuns and meanOwnRuns are moving averages of the endpoint's runs and this
-	// entry's part of them, for Peers.
+	// meanAllRuns and meanOwnRuns are moving averages of the number of runs at the
+	// endpoint and of those from this process, for PeerFactor.
 	meanAllRuns, meanOwnRuns float64
 }
 
-// send is work that this entry sent and no load includes yet.
+// send is work that this process sent and no load includes yet.
 type send struct {
 	at     time.Time
 	tokens int
 }
 
-// maxUnreportedSends bounds the sends remembered; older ones are taken for included.
+// maxUnreportedSends bounds unreportedSends; older ones are assumed to be included in the
+// load.
 const maxUnreportedSends = 256
 
-// observe takes in a load if it is newer, by the agent's own stamp: a report
-// that was underway for seconds must not replace one that came with an answer,
-// nor wipe out what was sent since it was taken.
+// observe applies a load if it is newer, by the agent's own timestamp: a report that was in
+// transit for seconds must not replace one that came with an answer, nor discard what was
+// sent after it was taken.
 func (t *trackedEndpoint) observe(load fleet.Load, arrived time.Time) {
 	if load.AtMS <= t.loadTakenMS && t.loadTakenMS != 0 {
 		return
@@ -47,20 +49,20 @@
 		t.clockOffset = difference
 	}
 	if t.CountsOnly {
-		// What such a report leaves out is learned or counted here.
+		// What such a report leaves out is observed or counted by this process.
 		load.PrefillRate, load.LinkRate = t.Load.PrefillRate, t.Load.LinkRate
 		t.observePeerFactor(load)
 	}
 	t.Load, t.loadTakenMS, t.LoadArrivedAt = load, load.AtMS, arrived
-	// The fastest message so far tells how the clocks differ, and with that when
-	// this load was taken by this entry's clock.
+	// The fastest message so far gives the offset between the clocks, and thereby when
+	// this load was taken by this process's clock.
 	taken := time.UnixMilli(load.AtMS).Add(t.clockOffset)
 	for len(t.unreportedSends) > 0 && !t.unreportedSends[0].at.After(taken) {
 		t.dropOldestSend()
 	}
 }
 
-// observePeerFactor compares the endpoint's count of runs with this entry's own.
+// observePeerFactor updates PeerFactor with the endpoint's and this process's count of runs.
 func (t *trackedEndpoint) observePeerFactor(load fleet.Load) {
 	const weight = 0.05
 	t.meanAllRuns += weight * (float64(load.Running+load.Queued) - t.meanAllRuns)
@@ -70,14 +72,14 @@
 	}
 }
 
-// dropOldestSend takes the oldest send for included in the load.
+// dropOldestSend removes the oldest unreported send, as included in the load.
 func (t *trackedEndpoint) dropOldestSend() {
 	t.SentTokens -= t.unreportedSends[0].tokens
 	t.SentRuns--
 	t.unreportedSends = t.unreportedSends[1:]
 }
 
-// recordSend counts work on its way to the endpoint.
+// recordSend counts work that is sent to the endpoint.
 func (t *trackedEndpoint) recordSend(tokens int, now time.Time) {
 	if len(t.unreportedSends) == maxUnreportedSends {
 		t.dropOldestSend()
@@ -89,21 +91,22 @@
 
 // LoadSnapshot is an endpoint's state as a decision saw it.
 type LoadSnapshot struct {
-	// Running and Queued as the endpoint last said, LoadAge ago; Sent since then and
-	// Own running from this entry.
+	// Running and Queued are the runs that the endpoint last reported, LoadAge ago. Sent
+	// counts the runs that this process sent since then, and Own all its runs there.
 	Running, Queued, Sent, Own int
 	LoadAge                    time.Duration
-	// HeldTokens of the engine's memory by this entry's runs.
+	// HeldTokens is the engine memory that this process's runs occupy.
 	HeldTokens int
-	// PeerRunning runs and PeerUnread prompt tokens from other processes, as they say.
+	// PeerRunning and PeerUnread count the runs and the unread prompt tokens that other
+	// processes report to have there.
 	PeerRunning, PeerUnread int
 }
 
 func (t *trackedEndpoint) snapshot(now time.Time) LoadSnapshot {
-	b := LoadSnapshot{Running: t.Load.Running, Queued: t.Load.Queued, Sent: t.SentRuns, Own: t.Running, HeldTokens: t.HeldTokens}
+	s := LoadSnapshot{Running: t.Load.Running, Queued: t.Load.Queued, Sent: t.SentRuns, Own: t.Running, HeldTokens: t.HeldTokens}
 	if t.loadTakenMS != 0 {
-		b.LoadAge = now.Sub(time.UnixMilli(t.loadTakenMS).Add(t.clockOffset))
+		s.LoadAge = now.Sub(time.UnixMilli(t.loadTakenMS).Add(t.clockOffset))
 	}
-	b.PeerRunning, b.PeerUnread = t.PeerWork.Running, t.PeerWork.UnreadTokens()
-	return b
+	s.PeerRunning, s.PeerUnread = t.PeerWork.Running, t.PeerWork.UnreadTokens()
+	return s
 }
