--- a/internal/state/routes/routes.go
+++ b/internal/state/routes/routes.go
@@ -1,6 +1,6 @@
-// Package routes holds the routing table of one configuration: which service a
-// request's host and path lead to, on what terms, and whose key it carries. A
-// Table is immutable.
+// Package routes implements the routing table of one configuration: which service
+// serves a request's host and path, with which limits, and which customer owns the
+// request's key. A Table is immutable.
 package routes
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Kind tells what may be repeated.
+// Kind is the kind of a route's requests; it decides what may be repeated.
 type Kind uint8
 
 // The kinds of requests.
@@ -19,11 +19,11 @@
 	Idempotent Kind = iota
 	// NonIdempotent requests run at most once for each attempt of the caller.
 	NonIdempotent
-	// Streaming answers are event streams.
+	// Streaming requests are answered by event streams.
 	Streaming
 )
 
-// String gives the kind's name for logs and metrics.
+// String returns the kind's name for logs and metrics.
 func (k Kind) String() string {
 	return [...]string{"idempotent", "non_idempotent", "streaming"}[k]
 }
@@ -41,24 +41,25 @@
 	Prefix  string
 	Kind    Kind
 	Targets []Target
-	// Timeout is the longest time to an answer's end, Objective the time within
-	// which an answer (a stream's first event) is on time.
+	// Timeout is the longest time until an answer is complete, Objective the time
+	// within which an answer (for a stream, its first event) is on time.
 	Timeout, Objective time.Duration
 	// MaxAttempts is the number of endpoints that one request may be sent to.
 	MaxAttempts int
 	// Priority 0 is the most urgent.
 	Priority int
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
-	// Resumable streams may go on at another endpoint after the last event.
+	// Resumable streams may continue at another endpoint after their last event.
 	Resumable bool
 }
 
-// IsRepeatable tells whether a request that may have run may be sent again from
+// IsRepeatable reports whether a request that may have run may be sent again from
 // its beginning.
 func (r *Route) IsRepeatable() bool { return r.Kind == Idempotent }
 
-// Pick chooses the target for a uniform number.
+// Pick returns the service for a uniform random number, by the targets' weights, or the
+// first target's service if no weight is positive.
 func (r *Route) Pick(random uint64) string {
 	total := uint64(0)
 	for _, t := range r.Targets {
@@ -88,19 +89,19 @@
 	Models             []string
 }
 
-// Store describes a store of kept context.
+// Store describes a context store.
 type Store struct {
 	Address            string
 	Domain             string
 	MemoryTokens       int
 	LinkBytesPerSecond int64
-	// TransferLatency is the fixed wait of each transfer.
+	// TransferLatency is the fixed delay of each transfer.
 	TransferLatency time.Duration
-	// Managed stores drop nothing by themselves.
+	// Managed stores evict nothing by themselves.
 	Managed bool
 }
 
-// Service is what routes lead to. Exactly one of Engine and Store may be set.
+// Service is a target of routes. At most one of Engine and Store may be set.
 type Service struct {
 	Name           string
 	MaxConnections int
@@ -108,11 +109,11 @@
 	Store          *Store
 }
 
-// Customer owns keys.
+// Customer is the owner of keys.
 type Customer struct {
 	Name string
 	Keys []string
-	// Priority, if HasPriority, goes before the route's.
+	// Priority overrides the route's if HasPriority.
 	Priority    int
 	HasPriority bool
 	// Isolated customers share no context with others.
@@ -128,17 +129,18 @@
 
 // Table is one configuration.
 type Table struct {
-	// Version is the operators' number, Revision the store's.
+	// Version is the operators' version number, Revision that of the record in the
+	// platform's object API.
 	Version  uint64
 	Revision uint64
 	Services map[string]*Service
 	Limits   Limits
-	// KeysRequired tells that requests carry keys.
+	// KeysRequired is set if requests to routes that are not Public must carry a key.
 	KeysRequired bool
 
 	routesByHost   map[string][]*Route
 	customersByKey map[string]*Customer
-	// priorityRanges are the least and the greatest of each service's routes.
+	// priorityRanges holds the least and the greatest priority of each service's routes.
 	priorityRanges map[string][2]int
 }
 
@@ -170,28 +172,29 @@
 
 func (t *Table) recordPriority(r *Route) {
 	for _, target := range r.Targets {
-		known, ok := t.priorityRanges[target.Service]
+		bounds, ok := t.priorityRanges[target.Service]
 		if !ok {
-			known = [2]int{r.Priority, r.Priority}
+			bounds = [2]int{r.Priority, r.Priority}
 		}
-		t.priorityRanges[target.Service] = [2]int{min(known[0], r.Priority), max(known[1], r.Priority)}
+		t.priorityRanges[target.Service] = [2]int{min(bounds[0], r.Priority), max(bounds[1], r.Priority)}
 	}
 }
 
-// PriorityRank is a priority's place among those of a service's routes: 0 for the most urgent and
-// all beyond, 1 for the least and all beyond. A customer's own priority may lie outside.
+// PriorityRank returns a priority's position between those of a service's routes: 0 for the most
+// urgent, 1 for the least urgent. A customer's own priority may lie outside that range and then
+// has the nearer rank.
 func (t *Table) PriorityRank(priority int, service string) float64 {
-	known := t.priorityRanges[service]
+	bounds := t.priorityRanges[service]
 	switch {
-	case priority <= known[0]:
+	case priority <= bounds[0]:
 		return 0
-	case priority >= known[1]:
+	case priority >= bounds[1]:
 		return 1
 	}
-	return float64(priority-known[0]) / float64(known[1]-known[0])
+	return float64(priority-bounds[0]) / float64(bounds[1]-bounds[0])
 }
 
-// Match finds the route with the longest prefix that begins the path.
+// Match returns the route of a host with the longest prefix of the path.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -204,7 +207,7 @@
 	return nil, false
 }
 
-// CustomerOf finds the customer that holds a key.
+// CustomerOf returns the customer that owns a key.
 func (t *Table) CustomerOf(key string) (*Customer, bool) {
 	c, ok := t.customersByKey[key]
 	return c, ok
--- a/internal/state/routes/routes_test.go
+++ b/internal/state/routes/routes_test.go
@@ -11,11 +11,11 @@
 	)
 	for path, want := range map[string]string{"/a/b/c": "long", "/a/b": "short", "/a/bc": "short", "/x": "root", "/a/b/": "long"} {
 		if r, ok := x.Match("h", path); !ok || r.Name != want {
-			t.Errorf("%s leads to %+v, want %s", path, r, want)
+			t.Errorf("route of %s: got %+v, want %s", path, r, want)
 		}
 	}
 	if _, ok := x.Match("unknown", "/a/"); ok {
-		t.Error("an unknown host matched")
+		t.Error("an unknown host has a route, want none")
 	}
 }
 
@@ -33,25 +33,25 @@
 	}
 }
 
-func TestRank(t *testing.T) {
+func TestPriorityRank(t *testing.T) {
 	route := func(name string, priority int) Route {
 		return Route{Name: name, Host: "h", Prefix: "/" + name + "/", Priority: priority, Targets: []Target{{"s", 1}}}
 	}
 	x := newTable(route("urgent", 0), route("middle", 1), route("patient", 2), Route{Host: "h", Prefix: "/x/", Priority: 7, Targets: []Target{{"alone", 1}}})
 	for name, want := range map[string]float64{"urgent": 0, "middle": 0.5, "patient": 1} {
 		if r, _ := x.Match("h", "/"+name+"/"); x.PriorityRank(r.Priority, "s") != want {
-			t.Errorf("%s has rank %g", name, x.PriorityRank(r.Priority, "s"))
+			t.Errorf("route %s: got rank %g", name, x.PriorityRank(r.Priority, "s"))
 		}
 	}
 	if r, _ := x.Match("h", "/x/"); x.PriorityRank(r.Priority, "alone") != 0 {
-		t.Error("a service of one priority has ranks")
+		t.Error("a service with one priority: got a rank other than 0")
 	}
 	for priority, want := range map[int]float64{-3: 0, 9: 1} {
 		if got := x.PriorityRank(priority, "s"); got != want {
-			t.Errorf("a customer's priority %d has rank %g", priority, got)
+			t.Errorf("a customer's priority %d: got rank %g", priority, got)
 		}
 	}
 	if got := x.PriorityRank(9, "alone"); got != 1 {
-		t.Errorf("a customer of lower priority than all routes has rank %g", got)
+		t.Errorf("a customer with a less urgent priority than all routes: got rank %g, want 1", got)
 	}
 }
