--- a/bench/capacity/weigh.go
+++ b/bench/capacity/weigh.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"limpetwall/internal/coordination/burn"
-	"limpetwall/internal/coordination/claims"
+	"limpetwall/internal/coordination/errorbudget"
+	"limpetwall/internal/coordination/idempotency"
 	"limpetwall/internal/coordination/routing"
 	"limpetwall/internal/state/config"
 	"limpetwall/internal/state/contextkey"
@@ -63,9 +63,9 @@
 			return x
 		}),
 		weight("burn book", "customer and service", 1000, func() any {
-			b := burn.NewBook()
+			b := errorbudget.NewRecorder()
 			for i := range 1000 {
-				b.Observe(burn.Observation{Key: burn.Key{Customer: fmt.Sprint(i), Service: "s"}, Target: 0.95, TTFTMS: 390, TTFT: 200 * time.Millisecond, At: time.Now()})
+				b.Observe(errorbudget.Observation{Key: errorbudget.Key{Customer: fmt.Sprint(i), Service: "s"}, Target: 0.95, TTFTMS: 390, TTFT: 200 * time.Millisecond, At: time.Now()})
 			}
 			return b
 		}),
@@ -175,7 +175,7 @@
 	out = append(out, measure("hashing an idempotency key", 1, func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			claims.HashKey("customer", "service", "key")
+			idempotency.HashKey("customer", "service", "key")
 		}
 	}))
 	return out
--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -10,9 +10,9 @@
 	"github.com/juju/errors"
 	"go.uber.org/zap"
 
-	"limpetwall/internal/coordination/burn"
-	"limpetwall/internal/coordination/claims"
 	"limpetwall/internal/coordination/entry"
+	"limpetwall/internal/coordination/errorbudget"
+	"limpetwall/internal/coordination/idempotency"
 	"limpetwall/internal/coordination/lease"
 	"limpetwall/internal/coordination/plan"
 	"limpetwall/internal/coordination/quarantine"
@@ -89,7 +89,7 @@
 
 // runEntry also tells when its parts are built and its listener is open.
 func runEntry(s *EntrySettings, logger *zap.Logger, stop Stop, built func(*base), listening func(address string)) error {
-	book := burn.NewBook()
+	book := errorbudget.NewRecorder()
 	p, err := newBase(s.BaseSettings, logger, fleet.RoleEntry, fleet.Endpoint{}, func() ([]byte, error) {
 		data, err := json.Marshal(book.Snapshot(time.Now()))
 		return data, errors.Trace(err)
@@ -130,10 +130,10 @@
 	return nil
 }
 
-func buildEntry(s *EntrySettings, p *base, book *burn.Book) (*entry.Entry, *claims.Binder, *runs.Runner) {
+func buildEntry(s *EntrySettings, p *base, book *errorbudget.Recorder) (*entry.Entry, *idempotency.Binder, *runs.Runner) {
 	table := p.node.Table()
 	directory := routing.NewDirectory(table, p.store, indexSize, table.Self().Incarnation)
-	binder := claims.NewBinder(claims.DefaultConfig(), p.api)
+	binder := idempotency.NewBinder(idempotency.DefaultConfig(), p.api)
 	runner := &runs.Runner{
 		Directory: directory, Table: table, Pool: p.pool, Tickets: runs.NewTicketPool(p.pool),
 		Binder: binder, Budget: runs.NewRetryBudget(retryShare, retryBurst), Store: p.store, Zap: p.zap,
--- a/internal/command/gateway_peers.go
+++ b/internal/command/gateway_peers.go
@@ -9,8 +9,8 @@
 	"limpetwall/internal/coordination/contentreport"
 	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/coordination/discovery"
+	"limpetwall/internal/coordination/leasenotice"
 	"limpetwall/internal/coordination/loadreport"
-	"limpetwall/internal/coordination/notice"
 	"limpetwall/internal/coordination/quarantinegossip"
 	"limpetwall/internal/coordination/rollout"
 	"limpetwall/internal/state/fleet"
@@ -61,7 +61,7 @@
 		p.log.Error("the rollout lease is not told to other gateways", zap.Error(err))
 		return
 	}
-	caster := &notice.Caster{Group: group, Hosts: sharer.Hosts, Take: director.Lease.Told, Log: p.log}
+	caster := &leasenotice.Broadcaster{Group: group, Hosts: sharer.Hosts, OnNotice: director.Lease.Told, Log: p.log}
 	director.Notices = caster
 	p.run(caster.Run)
 }
--- a/internal/coordination/admission/patience.go
+++ b/internal/coordination/admission/accept.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Prospect is what a request would get if it were sent now.
-type Prospect struct {
-	// Wait until an endpoint begins with it, First until its first token.
-	Wait, First time.Duration
+// Candidate is what a request would get if it were sent now.
+type Candidate struct {
+	// Wait until an endpoint begins with it, TTFT until its first token.
+	Wait, TTFT time.Duration
 	// Objective is the time within which its first token is on time, 0 if none is asked
-	// for; Left the time
+	// for; TimeLeft the time
 	// after which nobody waits for it.
-	Objective, Left time.Duration
-	// Rank among the kinds of requests of its service: 0 is the most urgent, 1 the
+	Objective, TimeLeft time.Duration
+	// PriorityRank among the kinds of requests of its service: 0 is the most urgent, 1 the
 	// least.
-	Rank float64
+	PriorityRank float64
 }
 
 const (
@@ -32,15 +32,15 @@
 
 // Accept tells whether a request should be sent, and if not, when its caller should
 // come back.
-func Accept(p Prospect) (ok bool, after time.Duration) {
+func Accept(p Candidate) (ok bool, after time.Duration) {
 	objective := p.Objective
 	if objective <= 0 {
 		// Where nobody asks for a time, an answer is on time while it is waited for.
-		objective = p.Left
+		objective = p.TimeLeft
 	}
-	patience := urgentPatience + p.Rank*(patientPatience-urgentPatience)
+	patience := urgentPatience + p.PriorityRank*(patientPatience-urgentPatience)
 	limit := time.Duration(patience * float64(objective))
-	if p.Wait <= limit && p.First < p.Left {
+	if p.Wait <= limit && p.TTFT < p.TimeLeft {
 		return true, 0
 	}
 	after = time.Duration(returnShare * float64(p.Wait)).Round(time.Millisecond)
--- a/internal/coordination/admission/patience_test.go
+++ b/internal/coordination/admission/accept_test.go
@@ -10,18 +10,18 @@
 	const objective = time.Second
 	rows := []struct {
 		name  string
-		p     Prospect
+		p     Candidate
 		ok    bool
 		after time.Duration
 	}{
-		{"no queue", Prospect{First: 100 * time.Millisecond, Objective: objective, Left: 10 * time.Second, Rank: 1}, true, 0},
-		{"a long prompt without queue", Prospect{First: 2 * time.Second, Objective: objective, Left: 10 * time.Second, Rank: 1}, true, 0},
-		{"urgent, short queue", Prospect{Wait: 700 * time.Millisecond, First: 800 * time.Millisecond, Objective: objective, Left: 10 * time.Second}, true, 0},
-		{"patient, the same queue", Prospect{Wait: 700 * time.Millisecond, First: 800 * time.Millisecond, Objective: objective, Left: 10 * time.Second, Rank: 1}, false, 490 * time.Millisecond},
-		{"urgent, long queue", Prospect{Wait: 3 * time.Second, First: 3 * time.Second, Objective: objective, Left: 10 * time.Second}, false, 2100 * time.Millisecond},
-		{"no objective, short queue", Prospect{Wait: 700 * time.Millisecond, First: 800 * time.Millisecond, Left: 10 * time.Second, Rank: 1}, true, 0},
-		{"no objective, long queue", Prospect{Wait: 4 * time.Second, First: 5 * time.Second, Left: 10 * time.Second, Rank: 1}, false, 2800 * time.Millisecond},
-		{"not before the caller's end", Prospect{First: 600 * time.Millisecond, Objective: objective, Left: 500 * time.Millisecond}, false, shortestReturn},
+		{"no queue", Candidate{TTFT: 100 * time.Millisecond, Objective: objective, TimeLeft: 10 * time.Second, PriorityRank: 1}, true, 0},
+		{"a long prompt without queue", Candidate{TTFT: 2 * time.Second, Objective: objective, TimeLeft: 10 * time.Second, PriorityRank: 1}, true, 0},
+		{"urgent, short queue", Candidate{Wait: 700 * time.Millisecond, TTFT: 800 * time.Millisecond, Objective: objective, TimeLeft: 10 * time.Second}, true, 0},
+		{"patient, the same queue", Candidate{Wait: 700 * time.Millisecond, TTFT: 800 * time.Millisecond, Objective: objective, TimeLeft: 10 * time.Second, PriorityRank: 1}, false, 490 * time.Millisecond},
+		{"urgent, long queue", Candidate{Wait: 3 * time.Second, TTFT: 3 * time.Second, Objective: objective, TimeLeft: 10 * time.Second}, false, 2100 * time.Millisecond},
+		{"no objective, short queue", Candidate{Wait: 700 * time.Millisecond, TTFT: 800 * time.Millisecond, TimeLeft: 10 * time.Second, PriorityRank: 1}, true, 0},
+		{"no objective, long queue", Candidate{Wait: 4 * time.Second, TTFT: 5 * time.Second, TimeLeft: 10 * time.Second, PriorityRank: 1}, false, 2800 * time.Millisecond},
+		{"not before the caller's end", Candidate{TTFT: 600 * time.Millisecond, Objective: objective, TimeLeft: 500 * time.Millisecond}, false, shortestReturn},
 	}
 	for _, row := range rows {
 		if ok, after := Accept(row.p); ok != row.ok || after != row.after {
@@ -51,7 +51,7 @@
 // of arrival, each at the engine with the shortest queue. From 5 s to 15 s only
 // down engines are there. It returns each kind's share in time, during that and in
 // the ten seconds after.
-func play(accept func(Prospect) bool, engines, down int) (during, after [3]float64) {
+func play(accept func(Candidate) bool, engines, down int) (during, after [3]float64) {
 	random := rand.New(rand.NewPCG(1, 2))
 	free := make([]time.Duration, engines)
 	var came, inTime [2][3]float64
@@ -79,7 +79,7 @@
 			if now >= 5*time.Second {
 				came[phase][i]++
 			}
-			if !accept(Prospect{Wait: wait, First: wait + k.read, Objective: k.objective, Left: 10 * time.Second, Rank: k.rank}) {
+			if !accept(Candidate{Wait: wait, TTFT: wait + k.read, Objective: k.objective, TimeLeft: 10 * time.Second, PriorityRank: k.rank}) {
 				continue
 			}
 			available[best] = now + wait + k.read
@@ -101,8 +101,8 @@
 // time in 0.19, the notes in 0.15, the checks in 0.68. With them the urgent kinds
 // are all in time, and the long ones in 0.74: they get what is left.
 func TestOverloadIsServedInTime(t *testing.T) {
-	everybody := func(Prospect) bool { return true }
-	some := func(p Prospect) bool {
+	everybody := func(Candidate) bool { return true }
+	some := func(p Candidate) bool {
 		ok, _ := Accept(p)
 		return ok
 	}
--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -19,34 +19,34 @@
 
 func TestGates(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	g := admission.NewGates()
+	g := admission.NewLimiter()
 	slow := &config.Customer{ID: "slow", Limits: config.Limits{RequestsPerSecond: 1, Burst: 2}}
 	narrow := &config.Customer{ID: "narrow", Limits: config.Limits{Concurrent: 1}}
 	free := &config.Customer{ID: "free"}
 	s := &config.Service{ID: "s"}
 	for range 2 {
-		if _, refusal := g.Enter(slow, s, now); refusal != nil {
+		if _, refusal := g.Acquire(slow, s, now); refusal != nil {
 			t.Fatalf("within the burst: %+v", refusal)
 		}
 	}
-	_, refusal := g.Enter(slow, s, now)
-	if refusal == nil || refusal.What != "customer" || refusal.After < 900*time.Millisecond || refusal.After > time.Second {
+	_, refusal := g.Acquire(slow, s, now)
+	if refusal == nil || refusal.Scope != "customer" || refusal.RetryAfter < 900*time.Millisecond || refusal.RetryAfter > time.Second {
 		t.Errorf("beyond the rate: %+v", refusal)
 	}
-	if _, refusal := g.Enter(slow, s, now.Add(refusal.After+time.Millisecond)); refusal != nil {
+	if _, refusal := g.Acquire(slow, s, now.Add(refusal.RetryAfter+time.Millisecond)); refusal != nil {
 		t.Errorf("at the time advised: %+v", refusal)
 	}
-	leave, _ := g.Enter(narrow, s, now)
-	if _, refusal := g.Enter(narrow, s, now); refusal == nil {
+	leave, _ := g.Acquire(narrow, s, now)
+	if _, refusal := g.Acquire(narrow, s, now); refusal == nil {
 		t.Error("beyond the concurrency")
 	}
 	leave()
-	if _, refusal := g.Enter(narrow, s, now); refusal != nil {
+	if _, refusal := g.Acquire(narrow, s, now); refusal != nil {
 		t.Errorf("after leaving: %+v", refusal)
 	}
 	bounded := &config.Service{ID: "bounded", Limits: config.Limits{Concurrent: 1}}
-	g.Enter(free, bounded, now)
-	if _, refusal := g.Enter(free, bounded, now); refusal == nil || refusal.What != "service" {
+	g.Acquire(free, bounded, now)
+	if _, refusal := g.Acquire(free, bounded, now); refusal == nil || refusal.Scope != "service" {
 		t.Errorf("service bound: %+v", refusal)
 	}
 }
@@ -63,7 +63,7 @@
 			for range requests {
 				group.Go(func() {
 					began := time.Now()
-					release, err := q.Enter(context.Background(), admission.Request{Customer: customer, Share: shares[customer], Cost: 1, Time: time.Hour})
+					release, err := q.Acquire(context.Background(), admission.Request{Customer: customer, Share: shares[customer], Cost: 1, TimeLeft: time.Hour})
 					if err != nil {
 						t.Error(err)
 						return
@@ -130,7 +130,7 @@
 				began := time.Now()
 				ctx, cancel := context.WithTimeout(context.Background(), deadline)
 				defer cancel()
-				release, err := q.Enter(ctx, admission.Request{Customer: customer, Cost: 1, Time: deadline})
+				release, err := q.Acquire(ctx, admission.Request{Customer: customer, Cost: 1, TimeLeft: deadline})
 				if err == nil {
 					time.Sleep(hold)
 					release()
@@ -221,7 +221,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.NewQueue(10, func() int { return 1 })
 		enter := func(left time.Duration) (func(), error) {
-			return q.Enter(t.Context(), admission.Request{Customer: "c", Time: left})
+			return q.Acquire(t.Context(), admission.Request{Customer: "c", TimeLeft: left})
 		}
 		release, _ := enter(time.Hour)
 		time.Sleep(9600 * time.Millisecond) // a mean of 600 ms is learned
@@ -246,18 +246,18 @@
 func TestQueueRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.NewQueue(1, func() int { return 1 })
-		release, err := q.Enter(t.Context(), admission.Request{Time: time.Hour})
+		release, err := q.Acquire(t.Context(), admission.Request{TimeLeft: time.Hour})
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		waited := make(chan error)
 		go func() {
-			_, err := q.Enter(ctx, admission.Request{Time: time.Hour})
+			_, err := q.Acquire(ctx, admission.Request{TimeLeft: time.Hour})
 			waited <- err
 		}()
 		synctest.Wait()
-		if _, err := q.Enter(t.Context(), admission.Request{Time: time.Hour}); !errors.Is(err, admission.ErrQueueFull) {
+		if _, err := q.Acquire(t.Context(), admission.Request{TimeLeft: time.Hour}); !errors.Is(err, admission.ErrQueueFull) {
 			t.Errorf("full: %v", err)
 		}
 		cancel()
@@ -267,11 +267,11 @@
 		time.Sleep(time.Minute)
 		release()
 		release() // a second release changes nothing
-		next, err := q.Enter(t.Context(), admission.Request{Time: time.Hour})
+		next, err := q.Acquire(t.Context(), admission.Request{TimeLeft: time.Hour})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := q.Enter(t.Context(), admission.Request{Time: time.Millisecond}); !errors.Is(err, admission.ErrTooLate) {
+		if _, err := q.Acquire(t.Context(), admission.Request{TimeLeft: time.Millisecond}); !errors.Is(err, admission.ErrTooLate) {
 			t.Errorf("would be too late: %v", err)
 		}
 		next()
--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/limiter.go
@@ -15,10 +15,10 @@
 
 // Refusal tells why a request was not admitted and when to come back.
 type Refusal struct {
-	// What is "customer" or "service".
-	What string
-	// After is the time until the bound has room again.
-	After time.Duration
+	// Scope is "customer" or "service".
+	Scope string
+	// RetryAfter is the time until the bound has room again.
+	RetryAfter time.Duration
 }
 
 type gate struct {
@@ -27,31 +27,31 @@
 	concurrent int
 }
 
-// Gates hold the bounds of all customers and services; safe for concurrent use.
-type Gates struct {
+// Limiter hold the bounds of all customers and services; safe for concurrent use.
+type Limiter struct {
 	mu    sync.Mutex
 	gates map[string]*gate
 }
 
-// NewGates returns gates without history.
-func NewGates() *Gates { return &Gates{gates: map[string]*gate{}} }
+// NewLimiter returns gates without history.
+func NewLimiter() *Limiter { return &Limiter{gates: map[string]*gate{}} }
 
 // busyRetry is the advice for a full concurrency bound: about one short answer.
 const busyRetry = time.Second
 
-// Enter admits a request of a customer to a service. On success the caller
+// Acquire admits a request of a customer to a service. On success the caller
 // calls leave at the request's end.
-func (g *Gates) Enter(c *config.Customer, s *config.Service, now time.Time) (leave func(), refusal *Refusal) {
+func (g *Limiter) Acquire(c *config.Customer, s *config.Service, now time.Time) (leave func(), refusal *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	customer := g.gate("customer/"+c.ID, c.Limits)
 	service := g.gate("service/"+s.ID, s.Limits)
 	if after, ok := customer.take(now); !ok {
-		return nil, &Refusal{What: "customer", After: after}
+		return nil, &Refusal{Scope: "customer", RetryAfter: after}
 	}
 	if after, ok := service.take(now); !ok {
 		customer.concurrent--
-		return nil, &Refusal{What: "service", After: after}
+		return nil, &Refusal{Scope: "service", RetryAfter: after}
 	}
 	return func() {
 		g.mu.Lock()
@@ -62,7 +62,7 @@
 }
 
 // gate returns a bound's state, with new limits if the configuration changed.
-func (g *Gates) gate(name string, limits config.Limits) *gate {
+func (g *Limiter) gate(name string, limits config.Limits) *gate {
 	x, ok := g.gates[name]
 	if !ok {
 		x = &gate{}
--- a/internal/coordination/admission/queue.go
+++ b/internal/coordination/admission/queue.go
@@ -75,12 +75,12 @@
 	Share    float64
 	// Cost in units of work, such as prompt tokens; at least 1.
 	Cost float64
-	// Time left until the request must be done.
-	Time time.Duration
+	// TimeLeft left until the request must be done.
+	TimeLeft time.Duration
 }
 
-// Enter waits for a place. On success the caller calls release at the end.
-func (q *Queue) Enter(ctx context.Context, r Request) (release func(), err error) {
+// Acquire waits for a place. On success the caller calls release at the end.
+func (q *Queue) Acquire(ctx context.Context, r Request) (release func(), err error) {
 	q.mu.Lock()
 	l := q.line(r)
 	if l.running+len(l.waiting) < q.fairPart(l, q.capacity()) {
@@ -175,7 +175,7 @@
 // elsewhere, and no capacity is spent on an answer that comes too late. A full
 // queue turns away the newest of its longest line, not who has little in it.
 func (q *Queue) refusal(l *line, r Request) error {
-	if q.expectedWait(l)+q.serviceTime > r.Time {
+	if q.expectedWait(l)+q.serviceTime > r.TimeLeft {
 		return ErrTooLate
 	}
 	if q.waiting < q.maxWait {
@@ -227,7 +227,7 @@
 
 func (q *Queue) enqueue(l *line, r Request) *waiter {
 	start := max(q.virtual, l.finish)
-	w := &waiter{start: start, finish: start + max(1, r.Cost)/l.share, until: time.Now().Add(r.Time), decided: make(chan struct{})}
+	w := &waiter{start: start, finish: start + max(1, r.Cost)/l.share, until: time.Now().Add(r.TimeLeft), decided: make(chan struct{})}
 	l.finish = w.finish
 	l.waiting = append(l.waiting, w)
 	q.waiting++
@@ -309,8 +309,8 @@
 	return best
 }
 
-// Kick lets waiting requests in after the capacity has grown.
-func (q *Queue) Kick() {
+// Dispatch lets waiting requests in after the capacity has grown.
+func (q *Queue) Dispatch() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.grant()
--- a/internal/coordination/entry/entry.go
+++ b/internal/coordination/entry/entry.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap"
 
 	"limpetwall/internal/coordination/admission"
-	"limpetwall/internal/coordination/burn"
+	"limpetwall/internal/coordination/errorbudget"
 	"limpetwall/internal/coordination/plan"
 	"limpetwall/internal/coordination/rollout"
 	"limpetwall/internal/coordination/routing"
@@ -63,7 +63,7 @@
 	Confirmer *plan.Confirmer
 	Rollout   *rollout.Runner
 	Pool      *rpc.Pool
-	Book      *burn.Book
+	Book      *errorbudget.Recorder
 	Zap       *zap.Logger
 	Metrics   metrics.Registry
 }
@@ -72,7 +72,7 @@
 type Entry struct {
 	cfg Config
 	Deps
-	gates *admission.Gates
+	gates *admission.Limiter
 
 	ready    atomic.Bool
 	draining atomic.Bool
@@ -86,7 +86,7 @@
 
 // New returns an entry that is not ready yet.
 func New(cfg Config, deps Deps) *Entry {
-	return &Entry{cfg: cfg, Deps: deps, gates: admission.NewGates(), queues: map[string]*admission.Queue{}}
+	return &Entry{cfg: cfg, Deps: deps, gates: admission.NewLimiter(), queues: map[string]*admission.Queue{}}
 }
 
 // SetReady tells that the configuration in force is known.
@@ -132,7 +132,7 @@
 	}
 	e.mu.Unlock()
 	for _, q := range queues {
-		q.Kick()
+		q.Dispatch()
 	}
 }
 
--- a/internal/coordination/entry/operators.go
+++ b/internal/coordination/entry/operators.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"limpetwall/internal/coordination/burn"
+	"limpetwall/internal/coordination/errorbudget"
 	"limpetwall/internal/coordination/plan"
 	"limpetwall/internal/coordination/rollout"
 	"limpetwall/internal/protocol/apierror"
@@ -164,7 +164,7 @@
 	report := e.burnReport(r.Context())
 	if r.URL.Query().Get("format") == "html" {
 		w.Header().Set("Content-Type", "text/html; charset=utf-8")
-		if err := burn.WriteHTML(w, report); err != nil {
+		if err := errorbudget.WriteHTML(w, report); err != nil {
 			return apierror.New(http.StatusInternalServerError, apierror.CodeInternalFailure, err.Error())
 		}
 		return nil
@@ -174,11 +174,11 @@
 }
 
 // burnReport gathers all entries' books; one that does not answer is named.
-func (e *Entry) burnReport(ctx context.Context) burn.Report {
+func (e *Entry) burnReport(ctx context.Context) errorbudget.Report {
 	ctx, cancel := context.WithTimeout(ctx, burnTime)
 	defer cancel()
 	now := time.Now()
-	snaps := []burn.Snapshot{e.Book.Snapshot(now)}
+	snaps := []errorbudget.Snapshot{e.Book.Snapshot(now)}
 	missing := []string{}
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -188,9 +188,9 @@
 		}
 		group.Go(func() {
 			data, err := e.Pool.BurnReport(ctx, m.Address)
-			var snap burn.Snapshot
+			var snap errorbudget.Snapshot
 			if err == nil {
-				snap, err = burn.Decode(data)
+				snap, err = errorbudget.Decode(data)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -203,5 +203,5 @@
 	}
 	group.Wait()
 	sort.Strings(missing)
-	return burn.Merge(snaps, missing, now)
+	return errorbudget.Merge(snaps, missing, now)
 }
--- a/internal/coordination/entry/prompts.go
+++ b/internal/coordination/entry/prompts.go
@@ -12,7 +12,7 @@
 	"github.com/juju/errors"
 
 	"limpetwall/internal/coordination/admission"
-	"limpetwall/internal/coordination/burn"
+	"limpetwall/internal/coordination/errorbudget"
 	"limpetwall/internal/coordination/runs"
 	"limpetwall/internal/protocol/apierror"
 	"limpetwall/internal/protocol/openai"
@@ -57,16 +57,16 @@
 
 // admit passes the bounds and the fair queue; leave gives the place back.
 func (e *Entry) admit(ctx context.Context, c *call, s *config.Service, cost int) (leave func(), refused *apierror.Error) {
-	exit, refusal := e.gates.Enter(c.customer, s, time.Now())
+	exit, refusal := e.gates.Acquire(c.customer, s, time.Now())
 	if refusal != nil {
 		return nil, apierror.Later(http.StatusTooManyRequests, apierror.CodeRateLimited,
-			"the "+refusal.What+"'s limit is reached", refusal.After)
+			"the "+refusal.Scope+"'s limit is reached", refusal.RetryAfter)
 	}
 	queue := e.queue(s.ID)
 	deadline, _ := ctx.Deadline()
-	release, err := queue.Enter(ctx, admission.Request{
+	release, err := queue.Acquire(ctx, admission.Request{
 		Customer: c.customer.ID, Share: c.customer.Share,
-		Cost: float64(cost), Time: time.Until(deadline),
+		Cost: float64(cost), TimeLeft: time.Until(deadline),
 	})
 	if err != nil {
 		exit()
@@ -176,8 +176,8 @@
 	if err != nil && err.Status < 500 && err.Status != http.StatusTooManyRequests {
 		return
 	}
-	e.Book.Observe(burn.Observation{
-		Key:    burn.Key{Customer: c.customer.ID, Service: s.ID},
+	e.Book.Observe(errorbudget.Observation{
+		Key:    errorbudget.Key{Customer: c.customer.ID, Service: s.ID},
 		Target: s.Objective.Target, TTFTMS: s.Objective.TTFTMS,
 		TTFT: first.Sub(c.started), Failed: err != nil, At: time.Now(),
 	})
--- a/internal/coordination/entry/requestline_test.go
+++ b/internal/coordination/entry/requestline_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap/zaptest/observer"
 
 	"limpetwall/internal/coordination/admission"
-	"limpetwall/internal/coordination/burn"
+	"limpetwall/internal/coordination/errorbudget"
 	"limpetwall/internal/coordination/routing"
 	"limpetwall/internal/coordination/runs"
 	"limpetwall/internal/protocol/apierror"
@@ -75,7 +75,7 @@
 	server  *httptest.Server
 	lines   *observer.ObservedLogs
 	metrics metrics.Registry
-	book    *burn.Book
+	book    *errorbudget.Recorder
 	// stop ends the requests underway, as a forced stop does.
 	stop context.CancelCauseFunc
 }
@@ -117,7 +117,7 @@
 	pool := rpc.NewPool(nil)
 	t.Cleanup(pool.Close)
 	core, lines := observer.New(zap.InfoLevel)
-	directory, book := routing.NewDirectory(table, store, 100, 1), burn.NewBook()
+	directory, book := routing.NewDirectory(table, store, 100, 1), errorbudget.NewRecorder()
 	e := New(DefaultConfig(), Deps{
 		Store: store, Directory: directory, Book: book, Zap: zap.New(core), Metrics: metrics.NewRegistry(),
 		Runner: &runs.Runner{
@@ -333,7 +333,7 @@
 func TestStopWhileWaitingInQueue(t *testing.T) {
 	s := newSite(t, &scriptedAgent{})
 	queue := s.entry.queue("singles")
-	release, err := queue.Enter(t.Context(), admission.Request{Customer: "other", Share: 1, Cost: 1, Time: time.Minute})
+	release, err := queue.Acquire(t.Context(), admission.Request{Customer: "other", Share: 1, Cost: 1, TimeLeft: time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/burn/burn.go
+++ b/internal/coordination/errorbudget/errorbudget.go
@@ -1,7 +1,7 @@
-// Package burn measures how fast services use up their error budgets. Each
+// Package errorbudget measures how fast services use up their error budgets. Each
 // entry keeps, per customer and service, good and bad requests by the minute
 // and a histogram of times to first token; a report merges all entries.
-package burn
+package errorbudget
 
 import (
 	"encoding/json"
@@ -47,15 +47,15 @@
 	ttft    *hdrhistogram.Histogram
 }
 
-// Book keeps the series of one entry.
-type Book struct {
+// Recorder keeps the series of one entry.
+type Recorder struct {
 	mu      sync.Mutex
 	series  map[Key]*series
 	skipped int64
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book { return &Book{series: map[Key]*series{}} }
+// NewRecorder returns an empty book.
+func NewRecorder() *Recorder { return &Recorder{series: map[Key]*series{}} }
 
 // Observation is the outcome of one request.
 type Observation struct {
@@ -71,7 +71,7 @@
 }
 
 // Observe adds a request's outcome.
-func (b *Book) Observe(o Observation) {
+func (b *Recorder) Observe(o Observation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s, ok := b.series[o.Key]
@@ -122,7 +122,7 @@
 }
 
 // Snapshot returns the book's content within the longest window.
-func (b *Book) Snapshot(now time.Time) Snapshot {
+func (b *Recorder) Snapshot(now time.Time) Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	snap := Snapshot{Skipped: b.skipped}
--- a/internal/coordination/burn/burn_test.go
+++ b/internal/coordination/errorbudget/errorbudget_test.go
@@ -1,4 +1,4 @@
-package burn_test
+package errorbudget_test
 
 import (
 	"encoding/json"
@@ -7,25 +7,25 @@
 	"testing"
 	"time"
 
-	"limpetwall/internal/coordination/burn"
+	"limpetwall/internal/coordination/errorbudget"
 )
 
 var now = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
-func observe(b *burn.Book, ago, ttft time.Duration, failed bool) {
-	b.Observe(burn.Observation{
-		Key: burn.Key{Customer: "c", Service: "s"}, Target: 0.95, TTFTMS: 390, TTFT: ttft, Failed: failed, At: now.Add(-ago),
+func observe(b *errorbudget.Recorder, ago, ttft time.Duration, failed bool) {
+	b.Observe(errorbudget.Observation{
+		Key: errorbudget.Key{Customer: "c", Service: "s"}, Target: 0.95, TTFTMS: 390, TTFT: ttft, Failed: failed, At: now.Add(-ago),
 	})
 }
 
 // transport sends a snapshot as entries do.
-func transport(t *testing.T, b *burn.Book) burn.Snapshot {
+func transport(t *testing.T, b *errorbudget.Recorder) errorbudget.Snapshot {
 	t.Helper()
 	data, err := json.Marshal(b.Snapshot(now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := burn.Decode(data)
+	s, err := errorbudget.Decode(data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 
 // TestReportMergesEntries books good, slow and failed requests at two entries.
 func TestReportMergesEntries(t *testing.T) {
-	first, second := burn.NewBook(), burn.NewBook()
+	first, second := errorbudget.NewRecorder(), errorbudget.NewRecorder()
 	for range 90 {
 		observe(first, time.Minute, 100*time.Millisecond, false)
 	}
@@ -46,7 +46,7 @@
 		observe(second, 45*time.Minute, 100*time.Millisecond, false)
 	}
 	observe(second, 7*time.Hour, 0, true) // older than every window
-	r := burn.Merge([]burn.Snapshot{transport(t, first), transport(t, second)}, []string{"entry-3"}, now)
+	r := errorbudget.Merge([]errorbudget.Snapshot{transport(t, first), transport(t, second)}, []string{"entry-3"}, now)
 	if len(r.Rows) != 1 || r.Entries != 2 {
 		t.Fatalf("%+v", r)
 	}
@@ -67,7 +67,7 @@
 		t.Errorf("p50 %g p99 %g", row.P50MS, row.P99MS)
 	}
 	var page strings.Builder
-	if err := burn.WriteHTML(&page, r); err != nil {
+	if err := errorbudget.WriteHTML(&page, r); err != nil {
 		t.Fatal(err)
 	}
 	for _, part := range []string{"entry-3", "<td>c</td>", "burn 5m0s", "<svg", `class="warm"`, "</html>"} {
@@ -81,8 +81,8 @@
 	f.Add([]byte(`{"series":[{"customer":"c","service":"s","target":0.9,"minutes":[{"at":1,"good":2}]}]}`))
 	f.Add([]byte(`{"series":[{"ttft":{}}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if s, err := burn.Decode(data); err == nil {
-			burn.Merge([]burn.Snapshot{s}, nil, now)
+		if s, err := errorbudget.Decode(data); err == nil {
+			errorbudget.Merge([]errorbudget.Snapshot{s}, nil, now)
 		}
 	})
 }
--- a/internal/coordination/burn/html.go
+++ b/internal/coordination/errorbudget/html.go
@@ -1,4 +1,4 @@
-package burn
+package errorbudget
 
 import (
 	"fmt"
--- a/internal/coordination/gateway/run.go
+++ b/internal/coordination/gateway/run.go
@@ -142,8 +142,8 @@
 	if x.service.Engine == nil || sent > 0 {
 		return nil
 	}
-	ok, delay := admission.Accept(admission.Prospect{
-		Wait: c.Wait, First: c.TTFT, Objective: x.route.Objective, Left: x.timeLeft(), Rank: x.table.PriorityRank(x.priority(), x.service.Name),
+	ok, delay := admission.Accept(admission.Candidate{
+		Wait: c.Wait, TTFT: c.TTFT, Objective: x.route.Objective, TimeLeft: x.timeLeft(), PriorityRank: x.table.PriorityRank(x.priority(), x.service.Name),
 	})
 	if ok {
 		return nil
--- a/internal/coordination/claims/binder.go
+++ b/internal/coordination/idempotency/binder.go
@@ -1,4 +1,4 @@
-package claims
+package idempotency
 
 import (
 	"context"
@@ -15,23 +15,23 @@
 // not been sent to an agent yet.
 const (
 	ErrPlatform = errors.ConstError("platform unavailable, key not bound")
-	ErrFull     = errors.ConstError("no room for more keys")
+	ErrPageFull = errors.ConstError("no room for more keys")
 	ErrBusy     = errors.ConstError("too many keys waiting to be bound")
 )
 
-// Pages is the number of objects that keys are spread over. It is part of the
+// PageCount is the number of objects that keys are spread over. It is part of the
 // stored format: processes with different values would not find each other's
 // bindings.
-const Pages = 256
+const PageCount = 256
 
 const pagePrefix = "claims."
 
 // Config tunes a binder.
 type Config struct {
-	// Gather is how long keys are gathered before a write.
-	Gather time.Duration
-	// Keep is how long a binding stays.
-	Keep time.Duration
+	// BatchDelay is how long keys are gathered before a write.
+	BatchDelay time.Duration
+	// Retention is how long a binding stays.
+	Retention time.Duration
 	// MaxWaiting bounds the keys that wait to be bound.
 	MaxWaiting int
 	// MaxTries bounds the writes of one page in one round.
@@ -42,7 +42,7 @@
 
 // DefaultConfig is what entries use.
 func DefaultConfig() Config {
-	return Config{Gather: 5 * time.Millisecond, Keep: 24 * time.Hour, MaxWaiting: 4096, MaxTries: 8, CallTimeout: 2 * time.Second}
+	return Config{BatchDelay: 5 * time.Millisecond, Retention: 24 * time.Hour, MaxWaiting: 4096, MaxTries: 8, CallTimeout: 2 * time.Second}
 }
 
 type request struct {
@@ -91,7 +91,7 @@
 		if err != nil {
 			return
 		}
-		timer := time.NewTimer(b.cfg.Gather)
+		timer := time.NewTimer(b.cfg.BatchDelay)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -116,7 +116,7 @@
 	return batches
 }
 
-func pageOf(k Key) int { return int(k[0]) % Pages }
+func pageOf(k Key) int { return int(k[0]) % PageCount }
 
 func pageKey(number int) string { return fmt.Sprintf("%s%03d", pagePrefix, number) }
 
@@ -139,7 +139,7 @@
 			return
 		}
 		if len(p.rows) > maxRows {
-			err = ErrFull
+			err = ErrPageFull
 			break
 		}
 		err = b.write(ctx, number, p)
@@ -151,7 +151,7 @@
 			break
 		}
 	}
-	if !errors.Is(err, ErrFull) {
+	if !errors.Is(err, ErrPageFull) {
 		err = errors.WithType(err, ErrPlatform)
 	}
 	for _, r := range batch {
@@ -185,7 +185,7 @@
 		}
 	}
 	if added {
-		p.prune(now, b.cfg.Keep)
+		p.prune(now, b.cfg.Retention)
 	}
 	return added
 }
--- a/internal/coordination/claims/claims_test.go
+++ b/internal/coordination/idempotency/binder_test.go
@@ -1,4 +1,4 @@
-package claims
+package idempotency
 
 import (
 	"context"
@@ -125,7 +125,7 @@
 	binders(t, "", 1, func(_ *lossy, all []*Binder) {
 		key := HashKey("c", "s", "k")
 		all[0].Bind(context.Background(), key, Ticket{1, 1})
-		time.Sleep(DefaultConfig().Keep - time.Minute)
+		time.Sleep(DefaultConfig().Retention - time.Minute)
 		if got, _ := all[0].Bind(context.Background(), key, Ticket{2, 2}); got != (Ticket{1, 1}) {
 			t.Errorf("before its time: %v", got)
 		}
@@ -153,7 +153,7 @@
 	defer cancel()
 	b := NewBinder(DefaultConfig(), api)
 	go b.Run(ctx)
-	if _, err := b.Bind(ctx, Key{0, 255, 255, 255, 255}, Ticket{1, 1}); !errors.Is(err, ErrFull) {
+	if _, err := b.Bind(ctx, Key{0, 255, 255, 255, 255}, Ticket{1, 1}); !errors.Is(err, ErrPageFull) {
 		t.Errorf("%v", err)
 	}
 	if got, err := b.Bind(ctx, Key{0, 0, 0, 5}, Ticket{9, 9}); err != nil || got != (Ticket{1, 5}) {
--- a/internal/coordination/claims/page.go
+++ b/internal/coordination/idempotency/page.go
@@ -1,4 +1,4 @@
-// Package claims binds callers' own idempotency keys to tickets, in the
+// Package idempotency binds callers' own idempotency keys to tickets, in the
 // platform's object API. The binding only says which agent incarnation holds
 // the one record of a key; at-most-once itself rests on that record.
 //
@@ -6,7 +6,7 @@
 // arrive within a few milliseconds and writes each page once, conditionally: of
 // two entries that bind one key at once, the second meets a conflict, reads the
 // page and finds the first one's ticket.
-package claims
+package idempotency
 
 import (
 	"crypto/sha256"
--- a/internal/coordination/notice/notice.go
+++ b/internal/coordination/leasenotice/broadcaster.go
@@ -1,10 +1,10 @@
-// Package notice carries what the holder of a lease has written to the platform's store
+// Package leasenotice carries what the holder of a lease has written to the platform's store
 // to the processes that would otherwise read it there. Where a hundred processes looked
 // four times a second while engines load weights, their looks were half of all calls to
 // the store; a datagram is there sooner and costs the store nothing. A lost one is
 // followed by the next, and who hears nothing reads the store: nothing that must hold
 // rests on notices.
-package notice
+package leasenotice
 
 import (
 	"bytes"
@@ -30,15 +30,15 @@
 // errTooLarge tells that a value does not fit a notice.
 const errTooLarge = errors.ConstError("value does not fit a datagram")
 
-// Caster sends notices to the other processes and receives theirs. Its fields are set
+// Broadcaster sends notices to the other processes and receives theirs. Its fields are set
 // before Run.
-type Caster struct {
+type Broadcaster struct {
 	Group *datagram.Group
 	// Hosts lists the other processes.
 	Hosts func() []netip.Addr
-	// Take is called with each notice received.
-	Take func(version int64, value []byte)
-	Log  *zap.Logger
+	// OnNotice is called with each notice received.
+	OnNotice func(version int64, value []byte)
+	Log      *zap.Logger
 
 	mu sync.Mutex
 	// sent is the version last sent.
@@ -46,7 +46,7 @@
 }
 
 // Announce sends a version of the lease's object to all others, once.
-func (c *Caster) Announce(version int64, value []byte) {
+func (c *Broadcaster) Announce(version int64, value []byte) {
 	if !c.isNew(version) {
 		return
 	}
@@ -61,7 +61,7 @@
 }
 
 // isNew tells whether a version is to be sent; a later call with it says no.
-func (c *Caster) isNew(version int64) bool {
+func (c *Broadcaster) isNew(version int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if version <= c.sent {
@@ -72,14 +72,14 @@
 }
 
 // Run takes in notices until ctx ends.
-func (c *Caster) Run(ctx context.Context) {
+func (c *Broadcaster) Run(ctx context.Context) {
 	c.Group.Receive(ctx, func(data []byte, from net.Addr) {
 		version, value, err := decode(data)
 		if err != nil {
 			c.Log.Warn("lease notice does not decode", zap.Stringer("from", from), zap.Int("bytes", len(data)), zap.Error(err))
 			return
 		}
-		c.Take(version, value)
+		c.OnNotice(version, value)
 	})
 }
 
--- a/internal/coordination/notice/notice_test.go
+++ b/internal/coordination/leasenotice/broadcaster_test.go
@@ -1,4 +1,4 @@
-package notice
+package leasenotice
 
 import (
 	"bytes"
@@ -20,14 +20,14 @@
 }
 
 // openCaster starts a caster on an address of the loopback network.
-func openCaster(t *testing.T, host string, port uint16, others ...string) (*Caster, chan told) {
+func openCaster(t *testing.T, host string, port uint16, others ...string) (*Broadcaster, chan told) {
 	t.Helper()
 	group, err := datagram.Listen(netip.AddrPortFrom(netip.MustParseAddr(host), port))
 	if err != nil {
 		t.Fatal(err)
 	}
 	heard := make(chan told, 8)
-	c := &Caster{
+	c := &Broadcaster{
 		Group: group, Log: zap.NewNop(),
 		Hosts: func() []netip.Addr {
 			var out []netip.Addr
@@ -36,7 +36,7 @@
 			}
 			return out
 		},
-		Take: func(version int64, value []byte) { heard <- told{version, string(value)} },
+		OnNotice: func(version int64, value []byte) { heard <- told{version, string(value)} },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/internal/coordination/runs/atmostonce.go
+++ b/internal/coordination/runs/atmostonce.go
@@ -13,7 +13,7 @@
 
 	"github.com/juju/errors"
 
-	"limpetwall/internal/coordination/claims"
+	"limpetwall/internal/coordination/idempotency"
 	"limpetwall/internal/coordination/routing"
 	"limpetwall/internal/protocol/apierror"
 	"limpetwall/internal/protocol/wire"
@@ -24,7 +24,7 @@
 
 // Binder binds an idempotency key that the caller chose to a ticket.
 type Binder interface {
-	Bind(ctx context.Context, key claims.Key, proposed claims.Ticket) (claims.Ticket, error)
+	Bind(ctx context.Context, key idempotency.Key, proposed idempotency.Ticket) (idempotency.Ticket, error)
 }
 
 // runAtMostOnce executes a request that must not be repeated. Its ticket names the one agent
@@ -105,7 +105,7 @@
 
 // bindKey returns the ticket that the caller's key is bound to. If the key is new, that is a
 // ticket of an endpoint that routing has chosen.
-func (r *Runner) bindKey(ctx context.Context, job *Job) (claims.Ticket, *apierror.Error) {
+func (r *Runner) bindKey(ctx context.Context, job *Job) (idempotency.Ticket, *apierror.Error) {
 	request := r.newRoutingRequest(job, nil)
 	var lastErr error
 	for range maxAttempts {
@@ -124,8 +124,8 @@
 		return r.bindKeyTo(ctx, job, proposed)
 	}
 	// There is no ticket to propose, but the key may already be bound.
-	ticket, e := r.bindKeyTo(ctx, job, claims.Ticket{})
-	if e == nil && ticket == (claims.Ticket{}) {
+	ticket, e := r.bindKeyTo(ctx, job, idempotency.Ticket{})
+	if e == nil && ticket == (idempotency.Ticket{}) {
 		message := "no endpoint serves this now"
 		if lastErr != nil {
 			message += ": " + lastErr.Error()
@@ -136,13 +136,13 @@
 	return ticket, e
 }
 
-func (r *Runner) bindKeyTo(ctx context.Context, job *Job, proposed claims.Ticket) (claims.Ticket, *apierror.Error) {
-	key := claims.HashKey(job.Customer.ID, job.Service.ID, job.IdempotencyKey)
+func (r *Runner) bindKeyTo(ctx context.Context, job *Job, proposed idempotency.Ticket) (idempotency.Ticket, *apierror.Error) {
+	key := idempotency.HashKey(job.Customer.ID, job.Service.ID, job.IdempotencyKey)
 	ticket, err := r.Binder.Bind(ctx, key, proposed)
 	switch {
 	case err == nil:
 		return ticket, nil
-	case errors.Is(err, claims.ErrFull):
+	case errors.Is(err, idempotency.ErrPageFull):
 		return ticket, apierror.Later(http.StatusServiceUnavailable, apierror.CodeKeyStoreFull,
 			"no room for more idempotency keys", time.Minute).WithRan(apierror.RanUnknown, apierror.AdviceSameKey)
 	default:
@@ -166,7 +166,7 @@
 // runWithTicket sends a request with its ticket and reattaches after each broken stream, until the
 // agent has answered, the agent or the caller is gone, or ctx has ended. The outcome is nil if the
 // answer is complete.
-func (r *Runner) runWithTicket(ctx context.Context, job *Job, c routing.Choice, t claims.Ticket, p *progress) (Result, *outcome) {
+func (r *Runner) runWithTicket(ctx context.Context, job *Job, c routing.Choice, t idempotency.Ticket, p *progress) (Result, *outcome) {
 	sent := false
 	ticket := &wire.Ticket{Incarnation: t.Incarnation, Sequence: t.Sequence}
 	for number := uint32(1); ; number++ {
@@ -210,7 +210,7 @@
 
 // TicketKey encodes a ticket as an idempotency key for a caller. The MAC is keyed with the
 // customer's salt, so that nobody can use up another customer's tickets.
-func TicketKey(c *config.Customer, service string, t claims.Ticket) string {
+func TicketKey(c *config.Customer, service string, t idempotency.Ticket) string {
 	raw := binary.BigEndian.AppendUint64(nil, t.Incarnation)
 	raw = binary.BigEndian.AppendUint64(raw, t.Sequence)
 	raw = append(raw, ticketMAC(c, service, raw)...)
@@ -226,19 +226,19 @@
 
 // ParseTicketKey decodes a key made by TicketKey. It returns false if the key is no ticket or was
 // not issued to this customer and service.
-func ParseTicketKey(c *config.Customer, service, key string) (claims.Ticket, bool) {
+func ParseTicketKey(c *config.Customer, service, key string) (idempotency.Ticket, bool) {
 	text, ok := strings.CutPrefix(key, ticketPrefix)
 	if !ok {
-		return claims.Ticket{}, false
+		return idempotency.Ticket{}, false
 	}
 	raw, err := ticketEncoding.DecodeString(strings.ToUpper(text))
 	if err != nil || len(raw) != 16+ticketMACSize {
-		return claims.Ticket{}, false
+		return idempotency.Ticket{}, false
 	}
 	if !hmac.Equal(ticketMAC(c, service, raw[:16]), raw[16:]) {
-		return claims.Ticket{}, false
+		return idempotency.Ticket{}, false
 	}
-	return claims.Ticket{Incarnation: binary.BigEndian.Uint64(raw), Sequence: binary.BigEndian.Uint64(raw[8:])}, true
+	return idempotency.Ticket{Incarnation: binary.BigEndian.Uint64(raw), Sequence: binary.BigEndian.Uint64(raw[8:])}, true
 }
 
 const (
@@ -271,17 +271,17 @@
 
 // Acquire returns an unused ticket of a member. It fetches new ones when none is left or they
 // expire soon.
-func (t *TicketPool) Acquire(ctx context.Context, m fleet.Member) (claims.Ticket, error) {
+func (t *TicketPool) Acquire(ctx context.Context, m fleet.Member) (idempotency.Ticket, error) {
 	tr := t.rangeOf(m.Incarnation)
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	if tr.next == tr.end || time.Now().After(tr.expires) {
 		if err := t.refill(ctx, m, tr); err != nil {
-			return claims.Ticket{}, err
+			return idempotency.Ticket{}, err
 		}
 	}
 	tr.next++
-	return claims.Ticket{Incarnation: m.Incarnation, Sequence: tr.next - 1}, nil
+	return idempotency.Ticket{Incarnation: m.Incarnation, Sequence: tr.next - 1}, nil
 }
 
 func (t *TicketPool) rangeOf(incarnation uint64) *ticketRange {
--- a/internal/coordination/runs/runs_test.go
+++ b/internal/coordination/runs/runs_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
-	"limpetwall/internal/coordination/claims"
+	"limpetwall/internal/coordination/idempotency"
 	"limpetwall/internal/coordination/routing"
 	"limpetwall/internal/protocol/apierror"
 	"limpetwall/internal/protocol/wire"
@@ -442,7 +442,7 @@
 func keyedJob(incarnation uint64) *Job {
 	job := plainJob(http.MethodPost)
 	job.Service.NotRepeatable = true
-	job.IdempotencyKey = TicketKey(job.Customer, job.Service.ID, claims.Ticket{Incarnation: incarnation, Sequence: 1})
+	job.IdempotencyKey = TicketKey(job.Customer, job.Service.ID, idempotency.Ticket{Incarnation: incarnation, Sequence: 1})
 	return job
 }
 
@@ -773,7 +773,7 @@
 
 func TestTicketKeys(t *testing.T) {
 	mine := &config.Customer{ID: "a", Salt: []byte("a")}
-	ticket := claims.Ticket{Incarnation: 1 << 60, Sequence: 7}
+	ticket := idempotency.Ticket{Incarnation: 1 << 60, Sequence: 7}
 	key := TicketKey(mine, "s", ticket)
 	if got, ok := ParseTicketKey(mine, "s", key); !ok || got != ticket {
 		t.Errorf("got %v, %v; want the ticket that the key encodes", got, ok)
@@ -788,7 +788,7 @@
 
 func FuzzParseTicketKey(f *testing.F) {
 	c := &config.Customer{Salt: []byte("salt")}
-	f.Add(TicketKey(c, "s", claims.Ticket{Incarnation: 1, Sequence: 2}))
+	f.Add(TicketKey(c, "s", idempotency.Ticket{Incarnation: 1, Sequence: 2}))
 	f.Fuzz(func(t *testing.T, key string) {
 		if ticket, ok := ParseTicketKey(c, "s", key); ok && !strings.EqualFold(TicketKey(c, "s", ticket), key) {
 			t.Errorf("key %q is accepted for %v", key, ticket)
--- a/internal/operatorcli/commands.go
+++ b/internal/operatorcli/commands.go
@@ -13,8 +13,8 @@
 	"strings"
 	"text/tabwriter"
 
-	"limpetwall/internal/coordination/burn"
 	"limpetwall/internal/coordination/entry"
+	"limpetwall/internal/coordination/errorbudget"
 	"limpetwall/internal/coordination/plan"
 	"limpetwall/internal/state/config"
 	"limpetwall/internal/state/finding"
@@ -212,7 +212,7 @@
 		if *html != "" {
 			return c.saveHTML(*html)
 		}
-		var r burn.Report
+		var r errorbudget.Report
 		if _, err := c.call(http.MethodGet, "/v1/reports/burn", nil, &r); err != nil {
 			return c.fail(err)
 		}
@@ -235,12 +235,12 @@
 	return ExitOK
 }
 
-func (c *cli) printBurn(r burn.Report) int {
+func (c *cli) printBurn(r errorbudget.Report) int {
 	for _, id := range r.Missing {
 		fmt.Fprintf(c.Out, "no answer from %s: its requests are missing here\n", id)
 	}
 	header := "CUSTOMER\tSERVICE\tTARGET\tP50 MS\tP95 MS\tP99 MS"
-	for _, length := range burn.Windows {
+	for _, length := range errorbudget.Windows {
 		header += "\tBURN " + length.String()
 	}
 	return c.table(header, func(w *tabwriter.Writer) {
