--- a/internal/coordination/loadreport/encoding.go
+++ b/internal/coordination/loadreport/encoding.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// maxWork bounds the endpoints in one report; each takes 40 bytes or less. Those with
+	// maxReportedEndpoints bounds the endpoints in one report; each takes 40 bytes or less. Those with
 	// most to read are named first.
-	maxWork = 32
+	maxReportedEndpoints = 32
 	// tokenUnit is what tokens are counted in.
 	tokenUnit = 64
 	// registryPrefix begins the keys of the registry of peers.
 	registryPrefix = "peer."
 )
 
-// errNotKey tells that a registry key is none of this package's.
-const errNotKey = errors.ConstError("not a key of the registry of peers")
+// errInvalidKey tells that a registry key is none of this package's.
+const errInvalidKey = errors.ConstError("not a key of the registry of peers")
 
 func encode(r routing.PeerReport) ([]byte, error) {
 	work := slices.Clone(r.Work)
 	slices.SortFunc(work, func(a, b routing.Work) int { return cmp.Compare(b.UnreadTokens(), a.UnreadTokens()) })
 	m := &wire.WorkReport{Domain: r.Domain, Incarnation: r.Sender, Number: r.Number, Leaving: r.Leaving}
-	for _, w := range work[:min(len(work), maxWork)] {
+	for _, w := range work[:min(len(work), maxReportedEndpoints)] {
 		m.Work = append(m.Work, encodeWork(w))
 	}
 	return proto.Marshal(m)
 }
 
 func encodeWork(w routing.Work) *wire.Work {
-	out := &wire.Work{Endpoint: w.Endpoint, Running: uint32(w.Running), HeldTokens: units(w.HeldTokens)}
+	out := &wire.Work{Endpoint: w.Endpoint, Running: uint32(w.Running), HeldTokens: toUnits(w.HeldTokens)}
 	last := 0
 	for urgency, tokens := range w.Unread {
 		if tokens > 0 {
@@ -45,12 +45,12 @@
 		}
 	}
 	for _, tokens := range w.Unread[:last] {
-		out.UnreadTokens = append(out.UnreadTokens, units(tokens))
+		out.UnreadTokens = append(out.UnreadTokens, toUnits(tokens))
 	}
 	return out
 }
 
-func units(tokens int) uint32 { return uint32((max(0, tokens) + tokenUnit - 1) / tokenUnit) }
+func toUnits(tokens int) uint32 { return uint32((max(0, tokens) + tokenUnit - 1) / tokenUnit) }
 
 func decode(data []byte) (routing.PeerReport, error) {
 	var m wire.WorkReport
@@ -76,7 +76,7 @@
 	rest, ok := strings.CutPrefix(key, registryPrefix)
 	domain, text, found := strings.Cut(rest, "@")
 	if !ok || !found {
-		return "", netip.AddrPort{}, errNotKey
+		return "", netip.AddrPort{}, errInvalidKey
 	}
 	address, err = netip.ParseAddrPort(text)
 	return domain, address, errors.Trace(err)
--- a/internal/coordination/loadreport/exchanger.go
+++ b/internal/coordination/loadreport/exchanger.go
@@ -19,26 +19,26 @@
 )
 
 const (
-	// reportEvery is the time between two reports: a prompt waits and is read for a
+	// reportInterval is the time between two reports: a prompt waits and is read for a
 	// few hundred ms.
-	reportEvery = 250 * time.Millisecond
+	reportInterval = 250 * time.Millisecond
 	// fanout peers get each report, in turn: with 200 bytes a report, at 12 requests a
 	// second, a process sends 3.6 KB/s with headers, whatever the size of its domain.
 	fanout = 4
-	// wholeFleet is the number of other processes up to which all are told; beyond,
+	// smallFleet is the number of other processes up to which all are told; beyond,
 	// only those of the own failure domain, who use the same endpoints most.
-	wholeFleet = 6
-	// silentAfter is when a peer that is not heard of is told nothing more.
-	silentAfter = 30 * time.Second
-	// registerEvery is how often the registry is read again: it heals what a start
+	smallFleet = 6
+	// silenceTimeout is when a peer that is not heard of is told nothing more.
+	silenceTimeout = 30 * time.Second
+	// registryInterval is how often the registry is read again: it heals what a start
 	// during a partition left out.
-	registerEvery = time.Minute
-	// settleAfter is when the registry is read for the second time: the first to start
+	registryInterval = time.Minute
+	// settleDelay is when the registry is read for the second time: the first to start
 	// of a fleet finds few there and would take it for a small one until registerEvery.
-	settleAfter = 5 * time.Second
-	// registerTimeout bounds one call to the registry, registerPause follows a failed one.
-	registerTimeout = 2 * time.Second
-	registerPause   = 2 * time.Second
+	settleDelay = 5 * time.Second
+	// registryTimeout bounds one call to the registry, registerPause follows a failed one.
+	registryTimeout    = 2 * time.Second
+	registryRetryDelay = 2 * time.Second
 )
 
 // Directory knows the work underway.
@@ -66,30 +66,30 @@
 	peers map[netip.AddrPort]*peer
 	// silent peers were told for silentAfter and said nothing.
 	silent map[netip.AddrPort]bool
-	// turn is where the next round of reports goes on in the list of peers.
-	turn   int
-	number uint64
+	// lastTarget is where the next round of reports goes on in the list of peers.
+	lastTarget int
+	lastNumber uint64
 }
 
 // peer is another process.
 type peer struct {
 	domain string
-	// heard is when it last reported, or when the registry named it.
-	heard time.Time
-	// toldSince is when reports to it began; zero while it is sent none.
-	toldSince time.Time
-	// left tells that it has stopped. It is told on until it counts as silent: one that is back at once can't know the
+	// lastSeen is when it last reported, or when the registry named it.
+	lastSeen time.Time
+	// reportedSince is when reports to it began; zero while it is sent none.
+	reportedSince time.Time
+	// hasLeft tells that it has stopped. It is told on until it counts as silent: one that is back at once can't know the
 	// others while the registry is down.
-	left bool
+	hasLeft bool
 }
 
 // silentFor is how long it has said nothing although it was told of this process. One that
 // is told nothing has no reason to report.
 func (p *peer) silentFor(now time.Time) time.Duration {
-	if p.toldSince.IsZero() {
+	if p.reportedSince.IsZero() {
 		return 0
 	}
-	return min(now.Sub(p.heard), now.Sub(p.toldSince))
+	return min(now.Sub(p.lastSeen), now.Sub(p.reportedSince))
 }
 
 // Run exchanges reports until ctx ends, and then says that this process leaves.
@@ -97,22 +97,22 @@
 	s.mu.Lock()
 	s.peers, s.silent = map[netip.AddrPort]*peer{}, map[netip.AddrPort]bool{}
 	s.mu.Unlock()
-	var duties sync.WaitGroup
-	duties.Go(s.receive)
-	duties.Go(func() { s.register(ctx) })
-	ticker := time.NewTicker(reportEvery)
+	var workers sync.WaitGroup
+	workers.Go(s.receive)
+	workers.Go(func() { s.runRegistration(ctx) })
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ticker.C:
-			s.report(false, fanout)
+			s.sendReport(false, fanout)
 			s.Directory.ExpirePeers(time.Now())
 		case <-ctx.Done():
 		}
 	}
-	s.report(true, math.MaxInt)
+	s.sendReport(true, math.MaxInt)
 	s.Conn.Close()
-	duties.Wait()
+	workers.Wait()
 }
 
 // Hosts lists the hosts of the other processes that are known, of all failure domains.
@@ -122,15 +122,15 @@
 
 // DomainHosts lists those of this process's own failure domain that have not stopped.
 func (s *Exchanger) DomainHosts() []netip.Addr {
-	return s.hosts(func(p *peer) bool { return p.domain == s.Domain && !p.left })
+	return s.hosts(func(p *peer) bool { return p.domain == s.Domain && !p.hasLeft })
 }
 
-func (s *Exchanger) hosts(which func(*peer) bool) []netip.Addr {
+func (s *Exchanger) hosts(matches func(*peer) bool) []netip.Addr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]netip.Addr, 0, len(s.peers))
 	for address, p := range s.peers {
-		if which(p) {
+		if matches(p) {
 			out = append(out, address.Addr())
 		}
 	}
@@ -144,15 +144,15 @@
 	return len(s.peers) + 1
 }
 
-// report sends what is underway to the next peers in turn.
-func (s *Exchanger) report(leaving bool, most int) {
-	targets := s.targets(most)
+// sendReport sends what is underway to the next peers in turn.
+func (s *Exchanger) sendReport(leaving bool, limit int) {
+	targets := s.nextTargets(limit)
 	if len(targets) == 0 {
 		return
 	}
-	s.number++
+	s.lastNumber++
 	data, err := encode(routing.PeerReport{
-		Sender: s.Incarnation, Number: s.number, Domain: s.Domain, Work: s.Directory.OwnWork(), Leaving: leaving,
+		Sender: s.Incarnation, Number: s.lastNumber, Domain: s.Domain, Work: s.Directory.OwnWork(), Leaving: leaving,
 	})
 	if err != nil {
 		s.Log.Error("work report", zap.Error(err))
@@ -164,38 +164,38 @@
 	}
 }
 
-// targets picks the next peers to be told.
-func (s *Exchanger) targets(most int) []netip.AddrPort {
+// nextTargets picks the next peers to be told.
+func (s *Exchanger) nextTargets(limit int) []netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.forgetSilent(now)
+	s.evictSilent(now)
 	list := make([]netip.AddrPort, 0, len(s.peers))
 	for address, p := range s.peers {
-		if p.domain == s.Domain || len(s.peers) <= wholeFleet {
+		if p.domain == s.Domain || len(s.peers) <= smallFleet {
 			list = append(list, address)
 			continue
 		}
 		// The fleet has grown beyond a small one.
-		p.toldSince = time.Time{}
+		p.reportedSince = time.Time{}
 	}
 	slices.SortFunc(list, netip.AddrPort.Compare)
-	most = min(most, len(list))
-	out := make([]netip.AddrPort, 0, most)
-	for range most {
-		s.turn = (s.turn + 1) % len(list)
-		out = append(out, list[s.turn])
-		if p := s.peers[list[s.turn]]; p.toldSince.IsZero() {
-			p.toldSince = now
+	limit = min(limit, len(list))
+	out := make([]netip.AddrPort, 0, limit)
+	for range limit {
+		s.lastTarget = (s.lastTarget + 1) % len(list)
+		out = append(out, list[s.lastTarget])
+		if p := s.peers[list[s.lastTarget]]; p.reportedSince.IsZero() {
+			p.reportedSince = now
 		}
 	}
 	return out
 }
 
-// forgetSilent drops the peers that say nothing; s.mu is held.
-func (s *Exchanger) forgetSilent(now time.Time) {
+// evictSilent drops the peers that say nothing; s.mu is held.
+func (s *Exchanger) evictSilent(now time.Time) {
 	for address, p := range s.peers {
-		if p.silentFor(now) > silentAfter {
+		if p.silentFor(now) > silenceTimeout {
 			delete(s.peers, address)
 			s.silent[address] = true
 		}
@@ -211,11 +211,11 @@
 			s.Log.Warn("work report does not decode", zap.Stringer("from", from), zap.Error(err))
 			return
 		}
-		s.take(report, from)
+		s.handleReport(report, from)
 	})
 }
 
-func (s *Exchanger) take(r routing.PeerReport, from net.Addr) {
+func (s *Exchanger) handleReport(r routing.PeerReport, from net.Addr) {
 	now := time.Now()
 	s.Directory.ApplyPeerReport(r, now)
 	udp, ok := from.(*net.UDPAddr)
@@ -227,7 +227,7 @@
 	defer s.mu.Unlock()
 	if r.Leaving {
 		if p := s.peers[address]; p != nil {
-			p.left = true
+			p.hasLeft = true
 		}
 		return
 	}
@@ -236,28 +236,28 @@
 		s.peers[address] = &peer{}
 	}
 	p := s.peers[address]
-	p.domain, p.heard, p.left = r.Domain, now, false
+	p.domain, p.lastSeen, p.hasLeft = r.Domain, now, false
 	delete(s.silent, address)
 }
 
-// register enters this process in the registry and reads the others from it. Of two
+// runRegistration enters this process in the registry and reads the others from it. Of two
 // that start together the later finds the earlier there and reports to it, so each
 // learns of the other.
-func (s *Exchanger) register(ctx context.Context) {
-	next := settleAfter
+func (s *Exchanger) runRegistration(ctx context.Context) {
+	next := settleDelay
 	for ctx.Err() == nil {
-		wait := registerPause
+		wait := registryRetryDelay
 		if err := s.registerOnce(ctx); err != nil {
 			s.Log.Warn("registry of peers does not answer", zap.Error(err))
 		} else {
-			wait, next = next, registerEvery
+			wait, next = next, registryInterval
 		}
 		pause.For(ctx, pause.Jitter(wait))
 	}
 }
 
 func (s *Exchanger) registerOnce(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	own := registryKey(s.Domain, s.Address)
 	_, err := s.Registry.Put(ctx, own, []byte{}, 0)
@@ -276,28 +276,28 @@
 			continue
 		}
 		present[address] = true
-		if address != s.Address && s.listed(domain, address) {
-			s.drop(ctx, o)
+		if address != s.Address && s.addListed(domain, address) {
+			s.removeEntry(ctx, o)
 		}
 	}
-	s.forgetUnlisted(present)
+	s.evictUnlisted(present)
 	return nil
 }
 
-// forgetUnlisted drops the peers that only the registry spoke of, and does no more.
-func (s *Exchanger) forgetUnlisted(present map[netip.AddrPort]bool) {
+// evictUnlisted drops the peers that only the registry spoke of, and does no more.
+func (s *Exchanger) evictUnlisted(present map[netip.AddrPort]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for address, p := range s.peers {
-		if p.toldSince.IsZero() && !present[address] {
+		if p.reportedSince.IsZero() && !present[address] {
 			delete(s.peers, address)
 		}
 	}
 }
 
-// listed notes a peer that the registry names. True asks for the entry's removal: the
+// addListed notes a peer that the registry names. True asks for the entry's removal: the
 // peer has been told of this process for long and has said nothing.
-func (s *Exchanger) listed(domain string, address netip.AddrPort) (remove bool) {
+func (s *Exchanger) addListed(domain string, address netip.AddrPort) (remove bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.silent[address] {
@@ -305,14 +305,14 @@
 		return true
 	}
 	if s.peers[address] == nil {
-		s.peers[address] = &peer{domain: domain, heard: time.Now()}
+		s.peers[address] = &peer{domain: domain, lastSeen: time.Now()}
 	}
 	return false
 }
 
-// drop removes an entry of a process that is gone. One that lives, and was only not
+// removeEntry removes an entry of a process that is gone. One that lives, and was only not
 // heard, enters itself again when it reads the registry.
-func (s *Exchanger) drop(ctx context.Context, o objectapi.Object) {
+func (s *Exchanger) removeEntry(ctx context.Context, o objectapi.Object) {
 	err := s.Registry.Delete(ctx, o.Key, o.Version)
 	s.Log.Info("silent peer taken out of the registry", zap.String("key", o.Key), zap.Error(err))
 }
--- a/internal/coordination/loadreport/exchanger_test.go
+++ b/internal/coordination/loadreport/exchanger_test.go
@@ -20,92 +20,92 @@
 	objectstandin "limpetwall/internal/transport/objectapi/standin"
 )
 
-// directory records what a sharer hears.
-type directory struct {
-	mu    sync.Mutex
-	own   []routing.Work
-	heard map[uint64]routing.PeerReport
+// fakeDirectory records what a sharer hears.
+type fakeDirectory struct {
+	mu      sync.Mutex
+	own     []routing.Work
+	reports map[uint64]routing.PeerReport
 }
 
-func (d *directory) OwnWork() []routing.Work {
+func (d *fakeDirectory) OwnWork() []routing.Work {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.own
 }
 
-func (d *directory) ApplyPeerReport(r routing.PeerReport, _ time.Time) {
+func (d *fakeDirectory) ApplyPeerReport(r routing.PeerReport, _ time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.heard[r.Sender] = r
+	d.reports[r.Sender] = r
 	if r.Leaving {
-		delete(d.heard, r.Sender)
+		delete(d.reports, r.Sender)
 	}
 }
 
-func (d *directory) ExpirePeers(time.Time) {}
+func (d *fakeDirectory) ExpirePeers(time.Time) {}
 
-func (d *directory) senders() []uint64 {
+func (d *fakeDirectory) senders() []uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []uint64
-	for sender := range d.heard {
+	for sender := range d.reports {
 		out = append(out, sender)
 	}
 	slices.Sort(out)
 	return out
 }
 
-func (d *directory) forget() {
+func (d *fakeDirectory) reset() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	clear(d.heard)
+	clear(d.reports)
 }
 
-// member is one process of a test.
-type member struct {
-	*directory
-	sharer  *Exchanger
-	address netip.AddrPort
-	stop    func()
+// process is one process of a test.
+type process struct {
+	*fakeDirectory
+	exchanger *Exchanger
+	address   netip.AddrPort
+	stop      func()
 }
 
-// fleet is a set of processes with one registry.
-type fleet struct {
+// testFleet is a set of processes with one registry.
+type testFleet struct {
 	network  *datagramtest.Network
-	registry *registry
+	registry *fakeRegistry
 }
 
-// registry is an object API that can be away.
-type registry struct {
+// fakeRegistry is an object API that can be away.
+type fakeRegistry struct {
 	*objectstandin.Store
 	down atomic.Bool
 	// deleted counts the entries that were taken out.
 	deleted atomic.Int64
 }
 
-func (r *registry) Delete(ctx context.Context, key string, version int64) error {
+func (r *fakeRegistry) Delete(ctx context.Context, key string, version int64) error {
 	r.deleted.Add(1)
 	return r.Store.Delete(ctx, key, version)
 }
 
-func (r *registry) Put(ctx context.Context, key string, value []byte, version int64) (objectapi.Object, error) {
+func (r *fakeRegistry) Put(ctx context.Context, key string, value []byte, version int64) (objectapi.Object, error) {
 	if r.down.Load() {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	return r.Store.Put(ctx, key, value, version)
 }
 
-func newFleet() *fleet {
-	return &fleet{
+func newTestFleet() *testFleet {
+	return &testFleet{
 		network:  datagramtest.New(),
-		registry: &registry{Store: objectstandin.New()},
+		registry: &fakeRegistry{Store: objectstandin.New()},
 	}
 }
 
 // start runs a process; number names it and its address.
-func (f *fleet) start(t *testing.T, number int, domain string) *member {
+func (f *testFleet) start(t *testing.T, number int, domain string) *process {
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(number)}), 7701)
-	d := &directory{heard: map[uint64]routing.PeerReport{}, own: []routing.Work{{Endpoint: uint32(number), Running: 1}}}
+	d := &fakeDirectory{reports: map[uint64]routing.PeerReport{}, own: []routing.Work{{Endpoint: uint32(number), Running: 1}}}
 	s := &Exchanger{
 		Conn: f.network.Open(address), Address: address, Domain: domain, Incarnation: uint64(number),
 		Directory: d, Registry: f.registry, Log: zap.NewNop(),
@@ -116,22 +116,22 @@
 		s.Run(ctx)
 		close(done)
 	}()
-	return &member{directory: d, sharer: s, address: address, stop: func() {
+	return &process{fakeDirectory: d, exchanger: s, address: address, stop: func() {
 		cancel()
 		<-done
 	}}
 }
 
-// TestAllHearOfEachOther starts processes together, later, and with a registry that is
+// TestAllProcessesExchangeReports starts processes together, later, and with a registry that is
 // away at first.
 //
 // Whoever starts enters itself before it reads the others, so of any two one reports to
 // the other, and the receiver answers from then on.
-func TestAllHearOfEachOther(t *testing.T) {
+func TestAllProcessesExchangeReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newTestFleet()
 		f.registry.down.Store(true)
-		var members []*member
+		var members []*process
 		for n := 1; n <= 4; n++ {
 			members = append(members, f.start(t, n, "a"))
 		}
@@ -159,17 +159,17 @@
 	})
 }
 
-// TestRestartedProcessIsToldWithoutTheRegistry guards against a process that knows nobody, as it was stopped and started while
+// TestRestartedProcessReceivesReportsWithoutRegistry guards against a process that knows nobody, as it was stopped and started while
 // the registry was down: what others hold in memory only would not reach it.
-func TestRestartedProcessIsToldWithoutTheRegistry(t *testing.T) {
+func TestRestartedProcessReceivesReportsWithoutRegistry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newTestFleet()
 		one, two := f.start(t, 1, "a"), f.start(t, 2, "a")
 		time.Sleep(10 * time.Second)
 		f.registry.down.Store(true)
 		two.stop()
 		time.Sleep(5 * time.Second)
-		if near := one.sharer.DomainHosts(); len(near) != 0 {
+		if near := one.exchanger.DomainHosts(); len(near) != 0 {
 			t.Errorf("%v share work after they have stopped", near)
 		}
 		two = f.start(t, 2, "a")
@@ -182,21 +182,21 @@
 	})
 }
 
-// TestLargeFleetReportsWithinTheDomain runs twelve processes in two domains.
+// TestLargeFleetReportsWithinDomain runs twelve processes in two domains.
 //
 // Beyond a handful only those of the own domain are told, and a process sends four
 // reports a round whatever their number.
-func TestLargeFleetReportsWithinTheDomain(t *testing.T) {
+func TestLargeFleetReportsWithinDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
-		var members []*member
+		f := newTestFleet()
+		var members []*process
 		for n := 1; n <= 12; n++ {
 			members = append(members, f.start(t, n, fmt.Sprint("d", n%2)))
 		}
 		time.Sleep(20 * time.Second)
 		f.network.Sent()
 		for _, m := range members {
-			m.forget()
+			m.reset()
 		}
 		const seconds = 10
 		time.Sleep(seconds * time.Second)
@@ -207,7 +207,7 @@
 		}
 		sent, _ := f.network.Sent()
 		// The ends of the window may each take in a round.
-		if rounds := seconds*int(time.Second/reportEvery) + 1; sent > 12*fanout*rounds {
+		if rounds := seconds*int(time.Second/reportInterval) + 1; sent > 12*fanout*rounds {
 			t.Errorf("%d reports in %d rounds of 12 processes", sent, rounds)
 		}
 		for _, m := range members {
@@ -216,16 +216,16 @@
 	})
 }
 
-// TestLivingProcessesStayInTheRegistry starts twelve processes of two domains one after the
+// TestLiveProcessesStayInRegistry starts twelve processes of two domains one after the
 // other, as on hosts that come up within 0.3 s.
 //
 // The first ones read a registry that names few, take the fleet for a small one, and report
 // to the other domain until they have read it again. Who is no longer told has no reason to
 // answer: its silence says nothing, and its entry stays for those that start later.
-func TestLivingProcessesStayInTheRegistry(t *testing.T) {
+func TestLiveProcessesStayInRegistry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
-		var members []*member
+		f := newTestFleet()
+		var members []*process
 		for n := 1; n <= 12; n++ {
 			members = append(members, f.start(t, n, fmt.Sprint("d", n%2)))
 			time.Sleep(25 * time.Millisecond)
@@ -240,15 +240,15 @@
 	})
 }
 
-// TestGoneProcessesLeaveTheRegistry loses a process without a word, and cuts off
+// TestLostProcessIsRemovedFromRegistry loses a process without a word, and cuts off
 // another for a while.
 //
 // The entry of the lost one is taken out, so that a fleet whose hosts are replaced for
 // years does not report to all that ever were. The one that was cut off enters itself
 // again and is heard.
-func TestGoneProcessesLeaveTheRegistry(t *testing.T) {
+func TestLostProcessIsRemovedFromRegistry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newTestFleet()
 		one, two, lost := f.start(t, 1, "a"), f.start(t, 2, "a"), f.start(t, 3, "a")
 		time.Sleep(10 * time.Second)
 		f.network.Cut(lost.address, true)
@@ -265,7 +265,7 @@
 			}
 		}
 		f.network.Cut(two.address, false)
-		one.forget()
+		one.reset()
 		time.Sleep(5 * time.Minute)
 		if got := one.senders(); !slices.Contains(got, 2) {
 			t.Errorf("heard %v after the cut", got)
@@ -275,9 +275,9 @@
 	})
 }
 
-// TestReportsFitOnePacket encodes more work than a datagram holds; what has most to read
+// TestReportFitsOneDatagram encodes more work than a datagram holds; what has most to read
 // is told.
-func TestReportsFitOnePacket(t *testing.T) {
+func TestReportFitsOneDatagram(t *testing.T) {
 	r := routing.PeerReport{Sender: 1 << 60, Number: 1 << 40, Domain: "a domain with a long name"}
 	for i := range 500 {
 		w := routing.Work{Endpoint: uint32(i) << 20, Running: 64, HeldTokens: 90_000}
@@ -291,7 +291,7 @@
 		t.Fatalf("%d bytes, %v", len(data), err)
 	}
 	got, err := decode(data)
-	if err != nil || got.Sender != r.Sender || got.Number != r.Number || got.Domain != r.Domain || len(got.Work) != maxWork {
+	if err != nil || got.Sender != r.Sender || got.Number != r.Number || got.Domain != r.Domain || len(got.Work) != maxReportedEndpoints {
 		t.Fatalf("%+v %v", got, err)
 	}
 	if first, want := got.Work[0], r.Work[499]; first.Endpoint != want.Endpoint || first.Unread[9]-want.Unread[9] >= tokenUnit {
