--- a/internal/coordination/gateway/bench_test.go
+++ b/internal/coordination/gateway/bench_test.go
@@ -19,8 +19,8 @@
 	"limpetwall/internal/transport/logging"
 )
 
-// keptEndpoint answers any number of requests on each connection.
-func keptEndpoint(b *testing.B, answer func(c net.Conn, r *http.Request)) string {
+// newKeepAliveEndpoint answers any number of requests on each connection.
+func newKeepAliveEndpoint(b *testing.B, answer func(c net.Conn, r *http.Request)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -49,19 +49,19 @@
 	return l.Addr().String()
 }
 
-// costSite is a gateway that logs as in production, before one endpoint.
-func costSite(b *testing.B, kind routes.Kind, answer func(c net.Conn, r *http.Request)) *Gateway {
+// newBenchGateway is a gateway that logs as in production, before one endpoint.
+func newBenchGateway(b *testing.B, kind routes.Kind, answer func(c net.Conn, r *http.Request)) *Gateway {
 	t := &testing.T{}
 	s := newTestServer(t, singleRoute(kind, 1))
 	out := logging.NewBounded(io.Discard, 4096)
 	b.Cleanup(func() { out.Close(time.Second) })
 	s.gateway.Log = logging.New(out, zap.InfoLevel)
-	s.gateway.State.SetInstance(discovery.Instance{ID: "i", Revision: 9, Service: "s", Address: keptEndpoint(b, answer), Domain: "a", Slots: 4})
+	s.gateway.State.SetInstance(discovery.Instance{ID: "i", Revision: 9, Service: "s", Address: newKeepAliveEndpoint(b, answer), Domain: "a", Slots: 4})
 	return s.gateway
 }
 
-// processorTime is what this process has used, the endpoint's part included.
-func processorTime(b *testing.B) time.Duration {
+// cpuTime is what this process has used, the endpoint's part included.
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
@@ -85,15 +85,15 @@
 // includes the endpoint's, not the reading of the caller's connection.
 func BenchmarkPlainRequest(b *testing.B) {
 	body := strings.Repeat("a", 800)
-	g := costSite(b, routes.NonIdempotent, func(c net.Conn, r *http.Request) {
+	g := newBenchGateway(b, routes.NonIdempotent, func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 800\r\n\r\n%s", headerID, r.Header.Get(headerID), body)
 	})
 	b.ReportAllocs()
-	began := processorTime(b)
+	began := cpuTime(b)
 	for b.Loop() {
 		forward(b, g)
 	}
-	b.ReportMetric(float64((processorTime(b)-began).Microseconds())/float64(b.N), "cpu-µs/op")
+	b.ReportMetric(float64((cpuTime(b)-began).Microseconds())/float64(b.N), "cpu-µs/op")
 }
 
 // BenchmarkStreamEvent forwards streams of a thousand events of 65 bytes, without
@@ -105,13 +105,13 @@
 		text := fmt.Sprintf("id: %d\ndata: %s\n\n", i, strings.Repeat("d", 50))
 		fmt.Fprintf(&all, "%x\r\n%s\r\n", len(text), text)
 	}
-	g := costSite(b, routes.Streaming, func(c net.Conn, r *http.Request) {
+	g := newBenchGateway(b, routes.Streaming, func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nTransfer-Encoding: chunked\r\n\r\n%s0\r\n\r\n", headerID, r.Header.Get(headerID), all.String())
 	})
 	b.ReportAllocs()
-	began := processorTime(b)
+	began := cpuTime(b)
 	for b.Loop() {
 		forward(b, g)
 	}
-	b.ReportMetric(float64((processorTime(b)-began).Nanoseconds())/float64(b.N)/events, "cpu-ns/event")
+	b.ReportMetric(float64((cpuTime(b)-began).Nanoseconds())/float64(b.N)/events, "cpu-ns/event")
 }
--- a/internal/coordination/gateway/crash_test.go
+++ b/internal/coordination/gateway/crash_test.go
@@ -24,22 +24,22 @@
 	"limpetwall/internal/transport/objectapi/standin"
 )
 
-// crash ends an endpoint as the end of its process does: it listens no more, and its connections close.
-func (s *testServer) crash(endpoint int) responder {
+// crashEndpoint ends an endpoint as the end of its process does: it listens no more, and its connections close.
+func (s *testServer) crashEndpoint(endpoint int) responder {
 	return func(net.Conn, *http.Request) { s.endpoints[endpoint].listener.Close() }
 }
 
-// observed collects a site's log.
-func (s *testServer) observed() *observer.ObservedLogs {
+// observeLogs collects a site's log.
+func (s *testServer) observeLogs() *observer.ObservedLogs {
 	core, lines := observer.New(zap.InfoLevel)
 	s.gateway.Log = zap.New(core)
 	return lines
 }
 
-// TestCrashIsToldFromALostAnswer ends a run in each way and looks whether the log calls it a crash.
+// TestCrashDetection ends a run in each way and looks whether the log calls it a crash.
 //
 // A lost answer or a reset connection that counted as a crash would have the request blamed for it.
-func TestCrashIsToldFromALostAnswer(t *testing.T) {
+func TestCrashDetection(t *testing.T) {
 	torn := func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 50\r\n\r\nhalf", headerID, r.Header.Get(headerID))
 	}
@@ -52,10 +52,10 @@
 		leaving bool
 		crashed bool
 	}{
-		{"a crash", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crash(0)(c, r) }, false, true},
-		{"a crash inside a stream", routes.Streaming, func(c net.Conn, r *http.Request) { s.crash(0)(c, r); respondStream("", "1")(c, r) }, false, true},
-		{"a crash inside an answer", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crash(0)(c, r); torn(c, r) }, false, true},
-		{"the end of one that leaves", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crash(0)(c, r) }, true, false},
+		{"a crash", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r) }, false, true},
+		{"a crash inside a stream", routes.Streaming, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r); respondStream("", "1")(c, r) }, false, true},
+		{"a crash inside an answer", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r); torn(c, r) }, false, true},
+		{"the end of one that leaves", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r) }, true, false},
 		{"a lost answer", routes.NonIdempotent, closeConn, false, false},
 		{"a torn answer", routes.NonIdempotent, torn, false, false},
 		{"a reset connection", routes.NonIdempotent, reset, false, false},
@@ -72,10 +72,10 @@
 				row.end(c, r)
 			}
 			s = newTestServer(t, singleRoute(row.kind, 1), leave)
-			lines := s.observed()
+			lines := s.observeLogs()
 			s.do(s.newRequest("POST", "/r/x", "b"))
 			s.server.Close()
-			s.gateway.crashProbes.wait()
+			s.gateway.crashProbes.waitProbes()
 			if got := lines.FilterMessage("endpoint crashed").Len() > 0; got != row.crashed {
 				t.Errorf("told as a crash: %v, want %v", got, row.crashed)
 			}
@@ -83,20 +83,20 @@
 	}
 }
 
-// guarded gives a site's gateway a guard whose duties don't run.
-func (s *testServer) guarded() *quarantine.Guard {
+// addGuard gives a site's gateway a guard whose duties don't run.
+func (s *testServer) addGuard() *quarantine.Guard {
 	s.gateway.Guard = quarantine.NewGuard(quarantine.NewTracker(), standin.New(), zap.NewNop(), metrics.NewRegistry(), time.Now)
 	return s.gateway.Guard
 }
 
-// crashingSite has endpoints that crash on the body "poison", by ending the answer that begin makes.
-func crashingSite(t *testing.T, kind routes.Kind, attempts, endpoints int, begin responder) *testServer {
+// newCrashingServer has endpoints that crash on the body "poison", by ending the answer that begin makes.
+func newCrashingServer(t *testing.T, kind routes.Kind, attempts, endpoints int, begin responder) *testServer {
 	var s *testServer
 	scripts := make([]responder, endpoints)
 	for i := range scripts {
 		scripts[i] = func(c net.Conn, r *http.Request) {
 			if s.endpoints[i].lastBody() == "poison" {
-				s.crash(i)(c, r)
+				s.crashEndpoint(i)(c, r)
 				begin(c, r)
 				return
 			}
@@ -106,7 +106,7 @@
 	list := singleRoute(kind, attempts)
 	list[0].Resumable = true
 	s = newTestServer(t, list, scripts...)
-	s.guarded()
+	s.addGuard()
 	return s
 }
 
@@ -124,8 +124,8 @@
 		kind     routes.Kind
 		attempts int
 		begin    responder
-		// asks until the first refusal.
-		asks int
+		// requests until the first refusal.
+		requests int
 	}{
 		{"one attempt an exchange", routes.NonIdempotent, 1, closeConn, 3},
 		{"two attempts", routes.Idempotent, 2, closeConn, 2},
@@ -135,12 +135,12 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			s := crashingSite(t, row.kind, row.attempts, 9, row.begin)
-			for n := range row.asks {
+			s := newCrashingServer(t, row.kind, row.attempts, 9, row.begin)
+			for n := range row.requests {
 				if resp, body, err := s.do(s.newRequest("POST", "/r/x", "poison")); err == nil && strings.Contains(body, apierror.CodeQuarantined) {
 					t.Errorf("ask %d: %v", n, resp.Status)
 				}
-				s.gateway.crashProbes.settled(t)
+				s.gateway.crashProbes.waitDone(t)
 			}
 			if got := s.requestCount(); got != 3 {
 				t.Errorf("it reached %d endpoints, want 3", got)
@@ -162,47 +162,47 @@
 	}
 }
 
-// wait returns when no probe is underway; the requests have ended.
-func (q *crashProbes) wait() { q.inFlight.Wait() }
+// waitProbes returns when no probe is underway; the requests have ended.
+func (q *crashProbes) waitProbes() { q.inFlight.Wait() }
 
-// settled returns when what broke is in the evidence.
-func (q *crashProbes) settled(t *testing.T) {
+// waitDone returns when what broke is in the evidence.
+func (q *crashProbes) waitDone(t *testing.T) {
 	t.Helper()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, in := range q.byIncarnation {
+	for _, probe := range q.byIncarnation {
 		q.mu.Unlock()
-		<-in.done
+		<-probe.done
 		q.mu.Lock()
 	}
 }
 
-// TestLostAnswersAreNoCrashes guards against a request being refused whose answers were lost at one endpoint after the other.
-func TestLostAnswersAreNoCrashes(t *testing.T) {
+// TestLostAnswersAreNotCrashes guards against a request being refused whose answers were lost at one endpoint after the other.
+func TestLostAnswersAreNotCrashes(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 9), closeConn, closeConn, closeConn, closeConn)
-	guard := s.guarded()
+	guard := s.addGuard()
 	s.do(s.newRequest("POST", "/r/x", "b"))
 	s.server.Close()
-	s.gateway.crashProbes.wait()
+	s.gateway.crashProbes.waitProbes()
 	if s.requestCount() != 4 || !guard.IsIdle() {
 		t.Errorf("%d runs, idle %v", s.requestCount(), guard.IsIdle())
 	}
 }
 
-// TestFullEndpointsDoNotWasteATrial guards against a request that stays in quarantine because the first endpoint of its only
+// TestFullEndpointDoesNotUseUpTrial guards against a request that stays in quarantine because the first endpoint of its only
 // trial was full.
-func TestFullEndpointsDoNotWasteATrial(t *testing.T) {
+func TestFullEndpointDoesNotUseUpTrial(t *testing.T) {
 	play := firstThen(reject, respond(200, "a"))
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 2), play, play)
-	guard := s.guarded()
-	later := time.Now()
-	guard.Now = func() time.Time { return later }
+	guard := s.addGuard()
+	now := time.Now()
+	guard.Now = func() time.Time { return now }
 	key := fingerprint.Of(fingerprint.Request{Customer: "club", Host: "h", Method: "POST", Target: "/r/x"}, []byte("b"))
-	guard.Quarantines.Merge(quarantine.Record{Key: key, Level: 1, Until: later.Add(time.Second)}, later)
+	guard.Quarantines.Merge(quarantine.Record{Key: key, Level: 1, Until: now.Add(time.Second)}, now)
 	if resp, _, err := s.do(s.newRequest("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("in quarantine: %v %v", resp, err)
 	}
-	later = later.Add(2 * time.Second)
+	now = now.Add(2 * time.Second)
 	for _, when := range []string{"on trial", "after it"} {
 		if resp, _, err := s.do(s.newRequest("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusOK {
 			t.Errorf("%s: %v %v", when, resp, err)
@@ -210,8 +210,8 @@
 	}
 }
 
-// crashesOf returns the key of the request POST /r/x with body "b", and a function that puts the blame for crashes on it.
-func crashesOf(guard *quarantine.Guard) (key fingerprint.Key, blame func()) {
+// testRequestKey returns the key of the request POST /r/x with body "b", and a function that puts the blame for crashes on it.
+func testRequestKey(guard *quarantine.Guard) (key fingerprint.Key, blame func()) {
 	key = fingerprint.Of(fingerprint.Request{Customer: "club", Host: "h", Method: "POST", Target: "/r/x"}, []byte("b"))
 	return key, func() {
 		for incarnation := range uint64(3) {
@@ -220,21 +220,21 @@
 	}
 }
 
-// settled returns when nobody looks for runs to call back.
-func (w *pendingRuns) settled() {
-	for looking := true; looking; runtime.Gosched() {
+// waitIdle returns when nobody looks for runs to call back.
+func (w *pendingRuns) waitIdle() {
+	for searching := true; searching; runtime.Gosched() {
 		w.mu.Lock()
-		looking = w.searching
+		searching = w.searching
 		w.mu.Unlock()
 	}
 }
 
-// untilClosed keeps a request until its connection is closed by the gateway.
-func untilClosed(c net.Conn, _ *http.Request) { io.Copy(io.Discard, c) }
+// waitForClose keeps a request until its connection is closed by the gateway.
+func waitForClose(c net.Conn, _ *http.Request) { io.Copy(io.Discard, c) }
 
-// TestRunsOfACrashingRequestAreCalledBack guards against a request that crashes further endpoints because it was sent to them
+// TestPendingRunsOfBlamedRequestAreCanceled guards against a request that crashes further endpoints because it was sent to them
 // before its crashes were known.
-func TestRunsOfACrashingRequestAreCalledBack(t *testing.T) {
+func TestPendingRunsOfBlamedRequestAreCanceled(t *testing.T) {
 	rows := []struct {
 		name  string
 		kind  routes.Kind
@@ -251,12 +251,12 @@
 			play := func(c net.Conn, r *http.Request) {
 				row.begin(c, r)
 				blame()
-				untilClosed(c, r)
+				waitForClose(c, r)
 			}
 			list := singleRoute(row.kind, 2)
 			list[0].Timeout, list[0].Resumable = 5*time.Second, true
 			s := newTestServer(t, list, play, play)
-			_, blame = crashesOf(s.guarded())
+			_, blame = testRequestKey(s.addGuard())
 			resp, body, err := s.do(s.newRequest("POST", "/r/x", "b"))
 			if err != nil || resp.StatusCode != http.StatusBadGateway || !strings.Contains(body, apierror.CodeOutcomeUnknown) {
 				t.Errorf("its caller got %v %v %s", resp, err, body)
@@ -268,15 +268,15 @@
 	}
 }
 
-// TestStreamThatHasBegunIsNotCalledBack guards against cutting a stream that its endpoint runs well.
-func TestStreamThatHasBegunIsNotCalledBack(t *testing.T) {
+// TestBegunStreamIsNotCanceled guards against cutting a stream that its endpoint runs well.
+func TestBegunStreamIsNotCanceled(t *testing.T) {
 	blamed := make(chan struct{})
 	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
 		respondStream("", "1")(c, r)
 		<-blamed
 		io.WriteString(c, lastChunk)
 	})
-	_, blame := crashesOf(s.guarded())
+	_, blame := testRequestKey(s.addGuard())
 	resp, err := s.server.Client().Do(s.newRequest("POST", "/r/x", "b"))
 	if err != nil {
 		t.Fatal(err)
@@ -286,25 +286,25 @@
 		t.Fatal(err)
 	}
 	blame()
-	s.gateway.pendingRuns.settled()
+	s.gateway.pendingRuns.waitIdle()
 	close(blamed)
 	if rest, err := io.ReadAll(resp.Body); err != nil {
 		t.Errorf("%q %v", rest, err)
 	}
 }
 
-// TestTrialIsNotCalledBack guards against a trial ended by old evidence, of which this process hears late.
-func TestTrialIsNotCalledBack(t *testing.T) {
+// TestTrialRunIsNotCanceled guards against a trial ended by old evidence, of which this process hears late.
+func TestTrialRunIsNotCanceled(t *testing.T) {
 	var blame func()
 	var s *testServer
 	s = newTestServer(t, singleRoute(routes.NonIdempotent, 1), func(c net.Conn, r *http.Request) {
 		blame()
-		s.gateway.pendingRuns.settled()
+		s.gateway.pendingRuns.waitIdle()
 		respond(200, "a")(c, r)
 	})
-	guard := s.guarded()
+	guard := s.addGuard()
 	var key fingerprint.Key
-	key, blame = crashesOf(guard)
+	key, blame = testRequestKey(guard)
 	now := time.Now()
 	guard.Quarantines.Merge(quarantine.Record{Key: key, Level: 1, Until: now}, now)
 	if resp, _, err := s.do(s.newRequest("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusOK {
@@ -312,25 +312,25 @@
 	}
 }
 
-// codecAtReply calls a function when an answer's head has come.
-type codecAtReply struct {
+// replyHookCodec calls a function when an answer's head has come.
+type replyHookCodec struct {
 	Codec
-	call func()
+	onReply func()
 }
 
-func (c codecAtReply) DecodeReply(status int, h http.Header) Reply {
+func (c replyHookCodec) DecodeReply(status int, h http.Header) Reply {
 	if status != 0 {
-		c.call()
+		c.onReply()
 	}
 	return c.Codec.DecodeReply(status, h)
 }
 
-// TestRejectedRequestStaysBlamed guards against a request that goes on to another endpoint after a full one has rejected it,
+// TestBlamedRequestIsNotRetriedAfterRejection guards against a request that goes on to another endpoint after a full one has rejected it,
 // though it is to blame by then.
-func TestRejectedRequestStaysBlamed(t *testing.T) {
+func TestBlamedRequestIsNotRetriedAfterRejection(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 2), reject, reject)
-	_, blame := crashesOf(s.guarded())
-	s.gateway.Codec = codecAtReply{s.gateway.Codec, blame}
+	_, blame := testRequestKey(s.addGuard())
+	s.gateway.Codec = replyHookCodec{s.gateway.Codec, blame}
 	resp, body, err := s.do(s.newRequest("POST", "/r/x", "b"))
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, `"ran":"no"`) {
 		t.Errorf("its caller got %v %v %s", resp, err, body)
@@ -340,22 +340,22 @@
 	}
 }
 
-// TestLateRunsOfACrashCount guards against a culprit going free whose own connection is the last to be seen closed.
-func TestLateRunsOfACrashCount(t *testing.T) {
+// TestRunReportedAfterCrashIsBlamed guards against a culprit going free whose own connection is the last to be seen closed.
+func TestRunReportedAfterCrashIsBlamed(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), closeConn)
-	guard := s.guarded()
+	guard := s.addGuard()
 	s.endpoints[0].listener.Close()
 	instance, _ := s.gateway.State.Instance("i-0")
 	sent := time.Now()
-	broken := func(path string) (*crashProbe, fingerprint.Key) {
+	breakRun := func(path string) (*crashProbe, fingerprint.Key) {
 		x := &exchange{g: s.gateway, r: s.newRequest("POST", path, ""), service: &routes.Service{Name: "s"}}
 		x.r.RequestURI = path
 		choice := routing.Choice{Member: fleet.Member{ID: instance.ID, Incarnation: 7}}
 		return x.probeCrash(choice, outcome{kind: broken, err: io.ErrUnexpectedEOF}, sent), x.fingerprint()
 	}
 	for _, path := range []string{"/r/first", "/r/late"} {
-		in, key := broken(path)
-		<-in.done
+		probe, key := breakRun(path)
+		<-probe.done
 		if !guard.IsSuspect(key) {
 			t.Errorf("%s is no suspect", path)
 		}
--- a/internal/coordination/gateway/ingress_test.go
+++ b/internal/coordination/gateway/ingress_test.go
@@ -81,7 +81,7 @@
 			server, c, r := s.serveIngress()
 			io.WriteString(c, row.before)
 			if strings.Contains(row.before, "Content-Length") {
-				s.untilInflight()
+				s.waitInFlight()
 			}
 			s.reconfigure(singleRoute(routes.NonIdempotent, 1), []routes.Service{{Name: "s"}}, []routes.Customer{{Name: "club", Keys: []string{"key"}}}, row.limits)
 			server.SetLimits(row.limits)
@@ -165,7 +165,7 @@
 			s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), silent)
 			server, c, r := s.serveIngress()
 			io.WriteString(c, row.sent)
-			s.untilInflight()
+			s.waitInFlight()
 			// Waits that are over at once would end a read that still stands under a limit.
 			server.SetLimits(routes.Limits{HeaderTimeout: time.Nanosecond, IdleTimeout: time.Minute})
 			io.WriteString(c, row.later)
--- a/internal/coordination/gateway/prompt.go
+++ b/internal/coordination/gateway/prompt.go
@@ -16,8 +16,8 @@
 
 // promptContext names a prompt's shared context for decisions.
 type promptContext struct {
-	// placementKey names the context for computed placement.
-	placementKey uint64
+	// placementHash names the context for computed placement.
+	placementHash uint64
 	// keys of the shared parts, each with all that precedes it, and the tokens up
 	// to the end of each; nil for requests without prompt.
 	keys []contextkey.Key
@@ -43,7 +43,7 @@
 		segments = segments[:len(segments)-1]
 	}
 	if len(segments) == 0 {
-		p.placementKey = xxhash.Sum64String(x.call.ID)
+		p.placementHash = xxhash.Sum64String(x.call.ID)
 		return p
 	}
 	parent := sha256.Sum256([]byte(p.sharingGroup + "\x00" + x.call.Model))
@@ -58,7 +58,7 @@
 		p.ends = append(p.ends, tokens)
 		p.segments = append(p.segments, contextcache.Segment(segment))
 	}
-	p.placementKey = binary.LittleEndian.Uint64(parent[:8])
+	p.placementHash = binary.LittleEndian.Uint64(parent[:8])
 	return p
 }
 
@@ -91,7 +91,7 @@
 		return
 	}
 	s.Weights, s.CacheSalt = weights, contextcache.Salt(p.sharingGroup, x.call.Model, c.Member.Endpoint.WeightVersion)
-	plan := x.g.ContextTracker.Plan(s.CacheSalt, strconv.FormatUint(p.placementKey, 36), p.segments, c.Member.Address, x.route.Objective)
+	plan := x.g.ContextTracker.Plan(s.CacheSalt, strconv.FormatUint(p.placementHash, 36), p.segments, c.Member.Address, x.route.Objective)
 	s.ImportFrom, s.ExportTo = x.padToSegments(plan.ImportFrom), x.padToSegments(plan.SaveTo)
 	if strings.Join(plan.ImportFrom, "") != "" {
 		s.ImportUntil = plan.ImportDeadline
--- a/internal/coordination/gateway/reconfigure_test.go
+++ b/internal/coordination/gateway/reconfigure_test.go
@@ -14,16 +14,16 @@
 	"limpetwall/internal/state/routes"
 )
 
-// swapper changes what a gateway believes, again and again, until it is ended.
-type swapper struct {
+// stateChanger changes what a gateway believes, again and again, until it is ended.
+type stateChanger struct {
 	site     *testServer
 	kind     routes.Kind
 	revision uint64
 }
 
-// routes puts in force a configuration in which the route leads to the service, without it, without the customer, or
+// changeRoutes puts in force a configuration in which the route leads to the service, without it, without the customer, or
 // with the service as one of engines.
-func (w *swapper) routes(n int) {
+func (w *stateChanger) changeRoutes(n int) {
 	list := singleRoute(w.kind, 3)
 	list[0].Resumable = true
 	services := []routes.Service{{Name: "s"}, {Name: "other"}}
@@ -46,8 +46,8 @@
 	w.site.gateway.ContextTracker.SetStores(table.Services)
 }
 
-// instance has an endpoint listed, leaving, of another service, restarted or gone.
-func (w *swapper) instance(n int) {
+// changeInstance has an endpoint listed, leaving, of another service, restarted or gone.
+func (w *stateChanger) changeInstance(n int) {
 	state := w.site.gateway.State
 	e := w.site.endpoints[n%len(w.site.endpoints)]
 	i := discovery.Instance{ID: e.id, Revision: w.revision, Service: "s", Address: e.address, Domain: "a", Slots: 4}
@@ -70,32 +70,32 @@
 	state.SetInstance(i)
 }
 
-func (w *swapper) swap(n int) {
+func (w *stateChanger) change(n int) {
 	w.revision++
-	w.routes(n)
+	w.changeRoutes(n)
 	w.revision++
-	w.instance(n)
+	w.changeInstance(n)
 	w.site.gateway.syncEndpoints(nil)
 	w.site.gateway.Pool.Forget(w.site.endpoints[n%len(w.site.endpoints)].address)
 }
 
 // run swaps until done is closed.
-func (w *swapper) run(done <-chan struct{}) {
+func (w *stateChanger) run(done <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
 		case <-done:
 			return
 		default:
-			w.swap(n)
+			w.change(n)
 		}
 	}
 }
 
-// turnCopier copies each second run that it is asked for.
-type turnCopier struct{ calls atomic.Int64 }
+// flakyCopier copies each second run that it is asked for.
+type flakyCopier struct{ calls atomic.Int64 }
 
 // Copy implements RunCopier.
-func (c *turnCopier) Copy(context.Context, discovery.Instance, string, string, bool) (string, error) {
+func (c *flakyCopier) Copy(context.Context, discovery.Instance, string, string, bool) (string, error) {
 	if c.calls.Add(1)%4 == 3 {
 		return "", ErrNoCapacity
 	}
@@ -103,17 +103,17 @@
 }
 
 // Drop implements RunCopier.
-func (*turnCopier) Drop(context.Context, discovery.Instance, string) error { return nil }
+func (*flakyCopier) Drop(context.Context, discovery.Instance, string) error { return nil }
 
-// TestSwappedTablesAnswerEveryCaller guards against a connection closed without an answer as the configuration or the
+// TestEveryCallerIsAnsweredDuringChanges guards against a connection closed without an answer as the configuration or the
 // endpoints change under a request.
-func TestSwappedTablesAnswerEveryCaller(t *testing.T) {
+func TestEveryCallerIsAnsweredDuringChanges(t *testing.T) {
 	rows := []struct {
 		kind  routes.Kind
 		plays []responder
 		whole string
-		// mayBreak allows answers to break off once they have begun.
-		mayBreak bool
+		// canBreak allows answers to break off once they have begun.
+		canBreak bool
 	}{
 		{routes.Idempotent, []responder{respond(200, "whole"), respond(500, "sorry"), keepAlive(closeConn), closeConn, reject, respondRaw("200 OK", "", "whole")}, "whole", false},
 		{routes.Streaming, []responder{respondStream(lastChunk, "1", "2"), respondStream("", "1"), respond(500, "sorry"), closeConn, reject, respondStream(lastChunk, "1", "2")},
@@ -122,11 +122,11 @@
 	for _, row := range rows {
 		t.Run(row.kind.String(), func(t *testing.T) {
 			s := newTestServer(t, singleRoute(row.kind, 3), row.plays...)
-			s.gateway.ContextTracker, s.gateway.Copier = newKeeper(), &turnCopier{}
-			guard := s.guarded()
+			s.gateway.ContextTracker, s.gateway.Copier = newContextTracker(), &flakyCopier{}
+			guard := s.addGuard()
 			done := make(chan struct{})
-			var swaps, callers sync.WaitGroup
-			swaps.Go(func() { (&swapper{site: s, kind: row.kind, revision: 100}).run(done) })
+			var changers, callers sync.WaitGroup
+			changers.Go(func() { (&stateChanger{site: s, kind: row.kind, revision: 100}).run(done) })
 			for caller := range 6 {
 				callers.Go(func() {
 					client := &http.Client{Transport: &http.Transport{}}
@@ -144,10 +144,10 @@
 						}
 						body, err := io.ReadAll(resp.Body)
 						resp.Body.Close()
-						if got := resp.Header.Get(headerID); got != id || len(body) == 0 || (err != nil && !row.mayBreak) {
+						if got := resp.Header.Get(headerID); got != id || len(body) == 0 || (err != nil && !row.canBreak) {
 							t.Errorf("%s: status %d to %q, %q, %v", id, resp.StatusCode, got, body, err)
 						}
-						if resp.StatusCode == 200 && err == nil && string(body) != row.whole && string(body) != keptBody {
+						if resp.StatusCode == 200 && err == nil && string(body) != row.whole && string(body) != firstBody {
 							t.Errorf("%s: %q", id, body)
 						}
 					}
@@ -155,8 +155,8 @@
 			}
 			callers.Wait()
 			close(done)
-			swaps.Wait()
-			s.gateway.crashProbes.settled(t)
+			changers.Wait()
+			s.gateway.crashProbes.waitDone(t)
 			if !guard.IsIdle() {
 				t.Error("a request is blamed for a crash, and none crashed")
 			}
--- a/internal/coordination/gateway/relocate_test.go
+++ b/internal/coordination/gateway/relocate_test.go
@@ -20,8 +20,8 @@
 type fakeCopier struct {
 	// first and last are what the two copies answer.
 	first, last error
-	// asked is closed by the first copy, stopped by the last.
-	asked, stopped chan struct{}
+	// firstCopied is closed by the first copy, stopped by the last.
+	firstCopied, stopped chan struct{}
 
 	mu      sync.Mutex
 	calls   []string
@@ -32,7 +32,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, fmt.Sprint(source.ID, " ", call, " ", last))
-	answer, stage := f.first, f.asked
+	answer, stage := f.first, f.firstCopied
 	if last {
 		answer, stage = f.last, f.stopped
 	}
@@ -50,19 +50,19 @@
 	return nil
 }
 
-// TestRunsGoOnElsewhere begins a stream that may not be repeated at an engine that is then
+// TestRelocation begins a stream that may not be repeated at an engine that is then
 // to load weights, or leaves.
 //
 // The run is copied, stopped, and goes on at the other engine: the caller gets each event
 // once, under the first head. Where no copy can be made it ends where it is; a run that is
 // stopped and rejected at the other engine is cut, and never run from its beginning.
-func TestRunsGoOnElsewhere(t *testing.T) {
+func TestRelocation(t *testing.T) {
 	const whole = "123"
 	var s *testServer
 	rows := []struct {
 		name        string
 		first, last error
-		empty       func(*discovery.State)
+		emptyEngine func(*discovery.State)
 		second      responder
 		events      string
 		complete    bool
@@ -71,22 +71,22 @@
 		crashed bool
 	}{
 		{"to load", nil, nil, func(s *discovery.State) { s.SetLoading("i-0", true) }, respondStream(lastChunk, "2", "3"), whole, true, 1, false},
-		{"to leave", nil, nil, leave, respondStream(lastChunk, "3"), whole, true, 1, false},
-		{"no room", ErrNoCapacity, nil, leave, respondStream(lastChunk), whole, true, 0, false},
-		{"ended meanwhile", nil, ErrRunNotFound, leave, respondStream(lastChunk), whole, true, 0, false},
-		{"rejected where it should go on", nil, nil, leave, reject, "12", false, 1, false},
-		{"torn where it goes on", nil, nil, leave, respondStream("", "3"), whole, false, 1, false},
-		{"crashed where it goes on", nil, nil, leave, func(c net.Conn, r *http.Request) { s.crash(1)(c, r); respondStream("", "3")(c, r) }, whole, false, 1, true},
+		{"to leave", nil, nil, leaveFirstEngine, respondStream(lastChunk, "3"), whole, true, 1, false},
+		{"no room", ErrNoCapacity, nil, leaveFirstEngine, respondStream(lastChunk), whole, true, 0, false},
+		{"ended meanwhile", nil, ErrRunNotFound, leaveFirstEngine, respondStream(lastChunk), whole, true, 0, false},
+		{"rejected where it should go on", nil, nil, leaveFirstEngine, reject, "12", false, 1, false},
+		{"torn where it goes on", nil, nil, leaveFirstEngine, respondStream("", "3"), whole, false, 1, false},
+		{"crashed where it goes on", nil, nil, leaveFirstEngine, func(c net.Conn, r *http.Request) { s.crashEndpoint(1)(c, r); respondStream("", "3")(c, r) }, whole, false, 1, true},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			copier := &fakeCopier{first: row.first, last: row.last, asked: make(chan struct{}), stopped: make(chan struct{})}
+			copier := &fakeCopier{first: row.first, last: row.last, firstCopied: make(chan struct{}), stopped: make(chan struct{})}
 			begun := make(chan struct{})
 			moves := row.first == nil && row.last == nil
 			s = newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
 				respondStream("", "1", "2")(c, r)
 				close(begun)
-				<-copier.asked
+				<-copier.firstCopied
 				if row.first == nil {
 					<-copier.stopped
 				}
@@ -95,8 +95,8 @@
 					fmt.Fprintf(c, "%x\r\n%s\r\n%s", len(text), text, lastChunk)
 				}
 			}, row.second)
-			s.engines(copier)
-			guard := s.guarded()
+			s.useEngines(copier)
+			guard := s.addGuard()
 			state := s.gateway.State
 			done := make(chan struct{})
 			var body string
@@ -114,7 +114,7 @@
 			}()
 			<-begun
 			state.SetLoading("i-1", false)
-			row.empty(state)
+			row.emptyEngine(state)
 			<-done
 			events := ""
 			for _, line := range strings.Split(body, "\n") {
@@ -125,7 +125,7 @@
 			if events != row.events || (err == nil) != row.complete {
 				t.Errorf("events %s, error %v", events, err)
 			}
-			if s.gateway.crashProbes.settled(t); guard.IsIdle() == row.crashed {
+			if s.gateway.crashProbes.waitDone(t); guard.IsIdle() == row.crashed {
 				t.Errorf("blamed for a crash: %v", !guard.IsIdle())
 			}
 			if got := s.endpoints[1].requestCount(); got != row.sent {
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestStoppedRunIsNoWholeAnswer guards against a false end of a stream without a length: its run was stopped for a
+// TestStoppedRunIsNotDelivered guards against a false end of a stream without a length: its run was stopped for a
 // move that failed, and the end of its connection is what ends a whole one too.
-func TestStoppedRunIsNoWholeAnswer(t *testing.T) {
+func TestStoppedRunIsNotDelivered(t *testing.T) {
 	rows := []struct {
 		name     string
 		last     error
@@ -160,18 +160,18 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			copier := &fakeCopier{last: row.last, asked: make(chan struct{}), stopped: make(chan struct{})}
+			copier := &fakeCopier{last: row.last, firstCopied: make(chan struct{}), stopped: make(chan struct{})}
 			begun := make(chan struct{})
 			s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
 				respondRaw("200 OK", "", "id: 1\ndata: 1\n\n")(c, r)
 				close(begun)
 				<-copier.stopped
 			}, reject)
-			s.engines(copier)
+			s.useEngines(copier)
 			go func() {
 				<-begun
 				s.gateway.State.SetLoading("i-1", false)
-				leave(s.gateway.State)
+				leaveFirstEngine(s.gateway.State)
 			}()
 			_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt", headerSegment+": part"))
 			if !strings.Contains(body, "id: 1") || (err == nil) != row.complete {
@@ -181,37 +181,37 @@
 	}
 }
 
-// engines makes a site's endpoints engines of one model, and has runs copied by copier.
-func (s *testServer) engines(copier RunCopier) {
+// useEngines makes a site's endpoints useEngines of one model, and has runs copied by copier.
+func (s *testServer) useEngines(copier RunCopier) {
 	state := s.gateway.State
 	state.SetRoutes(routes.New(2, 9, singleRoute(routes.Streaming, 1), []routes.Service{{Name: "s", Engine: &routes.Engine{Slots: 4}}},
 		[]routes.Customer{{Name: "club", Keys: []string{"key"}}}, routes.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20}))
 	for i, e := range s.endpoints {
 		state.SetInstance(discovery.Instance{ID: e.id, Revision: uint64(20 + i), Service: "s", Address: e.address, Domain: "a", Slots: 4, Model: "m", Weights: 1})
 	}
-	s.gateway.Copier, s.gateway.ContextTracker = copier, newKeeper()
+	s.gateway.Copier, s.gateway.ContextTracker = copier, newContextTracker()
 	// Streams begin at the first engine.
 	state.SetLoading("i-1", true)
 }
 
-// TestStreamThatDoesNotCloseAfterItsStop stops a run whose connection says nothing of it, as
+// TestRelocationClosesSilentStream stops a run whose connection says nothing of it, as
 // one that fell silent.
 //
 // The caller gets the rest from the other engine all the same; its time does not pass before
 // a connection that nothing will come from.
-func TestStreamThatDoesNotCloseAfterItsStop(t *testing.T) {
-	copier := &fakeCopier{asked: make(chan struct{}), stopped: make(chan struct{})}
+func TestRelocationClosesSilentStream(t *testing.T) {
+	copier := &fakeCopier{firstCopied: make(chan struct{}), stopped: make(chan struct{})}
 	begun := make(chan struct{})
 	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
 		respondStream("", "1")(c, r)
 		close(begun)
 		io.Copy(io.Discard, c)
 	}, respondStream(lastChunk, "2"))
-	s.engines(copier)
+	s.useEngines(copier)
 	go func() {
 		<-begun
 		s.gateway.State.SetLoading("i-1", false)
-		leave(s.gateway.State)
+		leaveFirstEngine(s.gateway.State)
 	}()
 	_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt", headerSegment+": part"))
 	if err != nil || !strings.Contains(body, "id: 2") {
@@ -219,51 +219,51 @@
 	}
 }
 
-// hangingCopier answers the first copy when it is released.
-type hangingCopier struct {
+// blockingCopier answers the first copy when it is released.
+type blockingCopier struct {
 	fakeCopier
 	released chan struct{}
 }
 
-func (h *hangingCopier) Copy(context.Context, discovery.Instance, string, string, bool) (string, error) {
-	close(h.asked)
+func (h *blockingCopier) Copy(context.Context, discovery.Instance, string, string, bool) (string, error) {
+	close(h.firstCopied)
 	<-h.released
 	return "", ErrNoCapacity
 }
 
-// TestCompleteAnswerDoesNotWaitForACopy ends a stream while its first copy hangs: the
+// TestCompleteAnswerDoesNotWaitForCopy ends a stream while its first copy hangs: the
 // caller has its end though the copy is not released before.
-func TestCompleteAnswerDoesNotWaitForACopy(t *testing.T) {
-	copier := &hangingCopier{fakeCopier: fakeCopier{asked: make(chan struct{})}, released: make(chan struct{})}
+func TestCompleteAnswerDoesNotWaitForCopy(t *testing.T) {
+	copier := &blockingCopier{fakeCopier: fakeCopier{firstCopied: make(chan struct{})}, released: make(chan struct{})}
 	defer close(copier.released)
 	begun := make(chan struct{})
 	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
 		respondStream("", "1")(c, r)
 		close(begun)
-		<-copier.asked
+		<-copier.firstCopied
 		io.WriteString(c, lastChunk)
 	}, reject)
-	s.engines(copier)
+	s.useEngines(copier)
 	go func() {
 		<-begun
 		s.gateway.State.SetLoading("i-1", false)
-		leave(s.gateway.State)
+		leaveFirstEngine(s.gateway.State)
 	}()
 	if _, body, err := s.do(s.newRequest("POST", "/r/x", "prompt", headerSegment+": part")); err != nil || !strings.Contains(body, "id: 1") {
 		t.Errorf("%q %v", body, err)
 	}
 }
 
-// leave has the first engine leave.
-func leave(s *discovery.State) {
+// leaveFirstEngine has the first engine leaveFirstEngine.
+func leaveFirstEngine(s *discovery.State) {
 	i, _ := s.Instance("i-0")
 	i.Leaving, i.Revision = true, i.Revision+100
 	s.SetInstance(i)
 }
 
-// TestCallerLeavesWhileItsRunIsMoved lets a caller go between the two ends of a move: the
+// TestCopyIsDroppedWhenCallerLeaves lets a caller go between the two ends of a move: the
 // copy must not keep an engine's memory for nobody.
-func TestCallerLeavesWhileItsRunIsMoved(t *testing.T) {
+func TestCopyIsDroppedWhenCallerLeaves(t *testing.T) {
 	copier := &fakeCopier{stopped: make(chan struct{})}
 	s := newTestServer(t, singleRoute(routes.Streaming, 1))
 	s.gateway.Copier = copier
@@ -292,11 +292,11 @@
 	}
 }
 
-// TestEmptyingIsToldEachTime has an endpoint carry out two orders.
-func TestEmptyingIsToldEachTime(t *testing.T) {
+// TestEmptyingSignalsEachOrder has an endpoint carry out two orders.
+func TestEmptyingSignalsEachOrder(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Streaming, 1)).gateway.State
 	s.SetInstance(discovery.Instance{ID: "e", Revision: 30, Service: "s", Address: "10.0.0.1:1", Model: "m", Weights: 1})
-	told := func() bool {
+	isSignaled := func() bool {
 		select {
 		case <-s.Emptying("e"):
 			return true
@@ -305,11 +305,11 @@
 		}
 	}
 	for range 2 {
-		if told() {
+		if isSignaled() {
 			t.Error("told though nothing is ordered")
 		}
 		s.SetLoading("e", true)
-		if !told() {
+		if !isSignaled() {
 			t.Error("not told of an order")
 		}
 		s.SetLoading("e", false)
@@ -319,24 +319,24 @@
 	}
 }
 
-// lateCopier answers the last copy when the run's connection has ended.
-type lateCopier struct {
+// delayedCopier answers the last copy when the run's connection has ended.
+type delayedCopier struct {
 	fakeCopier
 	ended chan struct{}
 }
 
 // Copy implements RunCopier.
-func (l *lateCopier) Copy(ctx context.Context, source discovery.Instance, call, destination string, last bool) (string, error) {
+func (l *delayedCopier) Copy(ctx context.Context, source discovery.Instance, call, destination string, last bool) (string, error) {
 	if last {
 		<-l.ended
 	}
 	return l.fakeCopier.Copy(ctx, source, call, destination, last)
 }
 
-// TestTimeEndsWhileARunIsMoved guards against a destination that is taken for unreachable, and a copy that stays, as a run's time
+// TestDeadlineDuringRelocation guards against a destination that is taken for unreachable, and a copy that stays, as a run's time
 // ends during its move.
-func TestTimeEndsWhileARunIsMoved(t *testing.T) {
-	copier := &lateCopier{fakeCopier{asked: make(chan struct{}), stopped: make(chan struct{})}, make(chan struct{})}
+func TestDeadlineDuringRelocation(t *testing.T) {
+	copier := &delayedCopier{fakeCopier{firstCopied: make(chan struct{}), stopped: make(chan struct{})}, make(chan struct{})}
 	begun := make(chan struct{})
 	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
 		respondStream("", "1")(c, r)
@@ -344,11 +344,11 @@
 		io.Copy(io.Discard, c)
 		close(copier.ended)
 	}, reject)
-	s.engines(copier)
+	s.useEngines(copier)
 	go func() {
 		<-begun
 		s.gateway.State.SetLoading("i-1", false)
-		leave(s.gateway.State)
+		leaveFirstEngine(s.gateway.State)
 	}()
 	_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt", headerSegment+": part", headerTimeLeft+": 600"))
 	if err == nil || !strings.Contains(body, "id: 1") {
--- a/internal/coordination/gateway/requestsizes_test.go
+++ b/internal/coordination/gateway/requestsizes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestSizesOfRoutes keeps each route's mean apart, and forgets routes that come without end.
-func TestSizesOfRoutes(t *testing.T) {
+// TestRequestSizes keeps each route's mean apart, and forgets routes that come without end.
+func TestRequestSizes(t *testing.T) {
 	var s requestSizes
 	for range 1000 {
 		s.observe("large", 20_000)
--- a/internal/coordination/gateway/run.go
+++ b/internal/coordination/gateway/run.go
@@ -54,7 +54,7 @@
 func (x *exchange) runAttempts(ctx context.Context) ending {
 	request := x.routingRequest()
 	prompt := x.promptContext()
-	request.PlacementHash, request.PlacementHashKnown, request.ChunkEnds = prompt.placementKey, true, prompt.ends
+	request.PlacementHash, request.PlacementHashKnown, request.ChunkEnds = prompt.placementHash, true, prompt.ends
 	x.setHoldings(request, prompt)
 	var last outcome
 	sent, unreached := 0, 0
--- a/internal/coordination/gateway/stale_test.go
+++ b/internal/coordination/gateway/stale_test.go
@@ -16,13 +16,13 @@
 	"limpetwall/internal/state/routes"
 )
 
-// keptBody is the answer to the first request on a connection that is kept; it also makes a stream.
-const keptBody = "data: first\n\n"
+// firstBody is the answer to the first request on a connection that is kept; it also makes a stream.
+const firstBody = "data: first\n\n"
 
 // keepAlive answers a request, and plays next to the second one on the same connection.
 func keepAlive(next responder) responder {
 	return func(c net.Conn, r *http.Request) {
-		fmt.Fprintf(c, "HTTP/1.1 200 X\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", headerID, r.Header.Get(headerID), len(keptBody), keptBody)
+		fmt.Fprintf(c, "HTTP/1.1 200 X\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", headerID, r.Header.Get(headerID), len(firstBody), firstBody)
 		second, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil {
 			return
@@ -31,10 +31,10 @@
 	}
 }
 
-// TestKeptConnectionEndsUnderARequest guards against "answer lost" for a request that the only endpoint would serve on a fresh connection.
-func TestKeptConnectionEndsUnderARequest(t *testing.T) {
+// TestStaleConnectionIsRetried guards against "answer lost" for a request that the only endpoint would serve on a fresh connection.
+func TestStaleConnectionIsRetried(t *testing.T) {
 	reset := func(c net.Conn, r *http.Request) { c.(*net.TCPConn).SetLinger(0) }
-	part := func(c net.Conn, r *http.Request) { fmt.Fprint(c, "HTTP/1.1 2") }
+	partialAnswer := func(c net.Conn, r *http.Request) { fmt.Fprint(c, "HTTP/1.1 2") }
 	events := respondStream(lastChunk, "1", "2")
 	const whole = "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n"
 	rows := []struct {
@@ -42,11 +42,11 @@
 		kind     routes.Kind
 		attempts int
 		budget   float64
-		// kept and fresh play the request on the kept connection and on later ones.
-		kept, fresh responder
-		status      int
-		body        string
-		arrivals    int32
+		// reused and fresh play the request on the reused connection and on later ones.
+		reused, fresh responder
+		status        int
+		body          string
+		arrivals      int32
 	}{
 		{"closed", routes.Idempotent, 2, 9, closeConn, respond(200, "whole"), 200, "whole", 2},
 		{"reset", routes.Idempotent, 2, 9, reset, respond(200, "whole"), 200, "whole", 2},
@@ -54,7 +54,7 @@
 		{"non-idempotent", routes.NonIdempotent, 2, 9, closeConn, respond(200, "whole"), 502, "", 1},
 		{"one attempt allowed", routes.Idempotent, 1, 9, closeConn, respond(200, "whole"), 502, "", 1},
 		{"retry budget used up", routes.Idempotent, 2, 0, closeConn, respond(200, "whole"), 502, "", 1},
-		{"part of an answer came", routes.Idempotent, 2, 9, part, respond(200, "whole"), 502, "", 1},
+		{"part of an answer came", routes.Idempotent, 2, 9, partialAnswer, respond(200, "whole"), 502, "", 1},
 		{"fresh one closed too", routes.Idempotent, 3, 9, closeConn, closeConn, 502, "", 2},
 		{"fresh one rejects", routes.Idempotent, 3, 9, closeConn, reject, 502, "", 2},
 		{"fresh one fails", routes.Idempotent, 3, 9, closeConn, respond(500, "sorry"), 500, "sorry", 2},
@@ -70,7 +70,7 @@
 			}
 			list := singleRoute(row.kind, row.attempts)
 			list[0].Resumable = true
-			s := newTestServer(t, list, firstThen(keepAlive(counted(row.kept)), counted(row.fresh)))
+			s := newTestServer(t, list, firstThen(keepAlive(counted(row.reused)), counted(row.fresh)))
 			s.gateway.RetryBudget = runs.NewRetryBudget(0, row.budget)
 			if resp, body, err := s.do(s.newRequest("POST", "/r/x", "order")); err != nil || resp.StatusCode != 200 {
 				t.Fatalf("%v %q %v", resp, body, err)
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestOthersAreAskedBeforeAStaleEndpoint guards against a second attempt at an endpoint whose way is broken while another is left.
-func TestOthersAreAskedBeforeAStaleEndpoint(t *testing.T) {
+// TestOtherEndpointIsTriedBeforeStaleOne guards against a second attempt at an endpoint whose way is broken while another is left.
+func TestOtherEndpointIsTriedBeforeStaleOne(t *testing.T) {
 	var ended atomic.Bool
 	s := newTestServer(t, singleRoute(routes.Idempotent, 2), firstThen(keepAlive(func(c net.Conn, r *http.Request) { ended.Store(true) }), reject))
 	if resp, _, err := s.do(s.newRequest("GET", "/r/x", "")); err != nil || resp.StatusCode != 200 {
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestAttemptsTellOfTheirConnection guards against a log that can't tell a stale connection from an endpoint that broke off.
-func TestAttemptsTellOfTheirConnection(t *testing.T) {
+// TestAttemptsLogConnectionReuse guards against a log that can't tell a stale connection from an endpoint that broke off.
+func TestAttemptsLogConnectionReuse(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 2), firstThen(keepAlive(closeConn), respond(200, "whole")))
 	core, logs := observer.New(zap.InfoLevel)
 	s.gateway.Log = zap.New(core)
@@ -123,8 +123,8 @@
 	if len(attempts) != 2 {
 		t.Fatalf("%d attempts", len(attempts))
 	}
-	if kept := attempts[0]; !kept.Reused || kept.Answered || kept.Outcome != broken.String() {
-		t.Errorf("on the kept connection: %+v", kept)
+	if reused := attempts[0]; !reused.Reused || reused.Answered || reused.Outcome != broken.String() {
+		t.Errorf("on the kept connection: %+v", reused)
 	}
 	if fresh := attempts[1]; fresh.Reused || !fresh.Answered || fresh.Outcome != delivered.String() {
 		t.Errorf("on the fresh connection: %+v", fresh)
--- a/internal/coordination/gateway/stop_test.go
+++ b/internal/coordination/gateway/stop_test.go
@@ -23,8 +23,8 @@
 	"limpetwall/internal/transport/upstream"
 )
 
-// stoppable serves a site's gateway such that a test can cut its requests by a forced stop.
-func (s *testServer) stoppable() (stop func()) {
+// startStoppable serves a site's gateway such that a test can cut its requests by a forced stop.
+func (s *testServer) startStoppable() (stop func()) {
 	hard, cut := context.WithCancelCause(context.Background())
 	s.server = httptest.NewUnstartedServer(s.gateway)
 	s.server.Config.BaseContext = func(net.Listener) context.Context { return hard }
@@ -33,8 +33,8 @@
 	return func() { cut(runs.ErrStopping) }
 }
 
-// announce tells, once, that a script is played to its end and that its endpoint waits.
-func announce(waiting chan<- struct{}, before responder) responder {
+// blockAfter tells, once, that a script is played to its end and that its endpoint waits.
+func blockAfter(waiting chan<- struct{}, before responder) responder {
 	return func(c net.Conn, r *http.Request) {
 		before(c, r)
 		waiting <- struct{}{}
@@ -42,13 +42,13 @@
 	}
 }
 
-// TestForcedStopAnswersItsCallers forces a stop at each stage of a request.
+// TestForcedStopAnswersCallers forces a stop at each stage of a request.
 //
 // Callers that still waited got the connection's end in place of an answer, and the request's
 // line said that they had left: the stop ended the requests' contexts just as a caller that
 // leaves does. What is said must be true: 503, after which callers send again, only if no
 // endpoint can have run the request; a stream that has begun must not look whole.
-func TestForcedStopAnswersItsCallers(t *testing.T) {
+func TestForcedStopAnswersCallers(t *testing.T) {
 	const order = "Content-Length: 5\r\n\r\norder"
 	rows := []struct {
 		name string
@@ -78,23 +78,23 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			waiting := make(chan struct{}, 1)
-			scripts := []responder{announce(waiting, row.before)}
+			scripts := []responder{blockAfter(waiting, row.before)}
 			if row.second != nil {
 				both := firstThen(row.second, scripts[0])
 				scripts = []responder{both, both}
 			}
 			s := newTestServer(t, singleRoute(row.kind, 2), scripts...)
 			if row.unreachable {
-				s.gateway.Pool = upstream.NewPool(hangingDial(waiting, row.second != nil))
+				s.gateway.Pool = upstream.NewPool(blockingDial(waiting, row.second != nil))
 			}
 			core, lines := observer.New(zap.InfoLevel)
 			s.gateway.Log = zap.New(core)
-			stop := s.stoppable()
-			c := s.send(row.sent)
+			stop := s.startStoppable()
+			c := s.sendRaw(row.sent)
 			reader := bufio.NewReader(c)
 			switch {
 			case !strings.HasSuffix(row.sent, order):
-				s.untilInflight()
+				s.waitInFlight()
 			case row.got == receipt.Part:
 				<-waiting
 				if line, err := reader.ReadString('\n'); err != nil || line != "HTTP/1.1 200 OK\r\n" {
@@ -104,7 +104,7 @@
 				<-waiting
 			}
 			stop()
-			s.compareAnswer(reader, row.got, row.status)
+			s.checkAnswer(reader, row.got, row.status)
 			c.Close()
 			s.server.Close()
 			line := lines.FilterMessage("request").All()[0].ContextMap()
@@ -119,8 +119,8 @@
 	}
 }
 
-// send opens a connection and sends a request whose framing and body are given.
-func (s *testServer) send(framed string) net.Conn {
+// sendRaw opens a connection and sends a request whose framing and body are given.
+func (s *testServer) sendRaw(framed string) net.Conn {
 	c, err := net.Dial("tcp", s.server.Listener.Addr().String())
 	if err != nil {
 		s.t.Fatal(err)
@@ -132,15 +132,15 @@
 	return c
 }
 
-// untilInflight waits until the gateway has a request.
-func (s *testServer) untilInflight() {
+// waitInFlight waits until the gateway has a request.
+func (s *testServer) waitInFlight() {
 	for s.gateway.InFlight() == 0 {
 		runtime.Gosched()
 	}
 }
 
-// compareAnswer reads what a caller gets of a request that is cut.
-func (s *testServer) compareAnswer(r *bufio.Reader, got receipt.Receipt, status int) {
+// checkAnswer reads what a caller gets of a request that is cut.
+func (s *testServer) checkAnswer(r *bufio.Reader, got receipt.Receipt, status int) {
 	s.t.Helper()
 	if got == receipt.Part {
 		if rest, err := io.ReadAll(r); strings.HasSuffix(string(rest), lastChunk) {
@@ -157,16 +157,16 @@
 	if err != nil || resp.StatusCode != status || resp.Header.Get(headerID) != "id-1" {
 		s.t.Errorf("the caller got %v, %q, %v; want status %d", resp, body, err, status)
 	}
-	if again := resp.Header.Get("Retry-After") != ""; again != (status == http.StatusServiceUnavailable) {
-		s.t.Errorf("told to come back: %v", again)
+	if hasRetryAfter := resp.Header.Get("Retry-After") != ""; hasRetryAfter != (status == http.StatusServiceUnavailable) {
+		s.t.Errorf("told to come back: %v", hasRetryAfter)
 	}
 	if ran := resp.Header.Get("X-Limpetwall-Ran"); got == receipt.Refusal && (ran == "no") != (status == http.StatusServiceUnavailable) {
 		s.t.Errorf("%d with ran: %q", status, ran)
 	}
 }
 
-// hangingDial opens no connection, but for the first one if it may.
-func hangingDial(waiting chan<- struct{}, first bool) func(context.Context, string, string) (net.Conn, error) {
+// blockingDial opens no connection, but for the first one if it may.
+func blockingDial(waiting chan<- struct{}, first bool) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		if first {
 			first = false
@@ -178,30 +178,30 @@
 	}
 }
 
-// TestCallerThatLeftBeforeAForcedStop lets a caller leave, and forces the stop before its request
+// TestCallerLeftBeforeForcedStop lets a caller leave, and forces the stop before its request
 // has ended: it is still one that left and got nothing.
-func TestCallerThatLeftBeforeAForcedStop(t *testing.T) {
+func TestCallerLeftBeforeForcedStop(t *testing.T) {
 	waiting := make(chan struct{}, 1)
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), closeConn)
-	gone := make(chan struct{})
+	dialEnded := make(chan struct{})
 	var stop func()
 	s.gateway.Pool = upstream.NewPool(func(ctx context.Context, _, _ string) (net.Conn, error) {
 		waiting <- struct{}{}
 		<-ctx.Done()
 		stop()
-		close(gone)
+		close(dialEnded)
 		return nil, ctx.Err()
 	})
 	core, lines := observer.New(zap.InfoLevel)
 	s.gateway.Log = zap.New(core)
-	stop = s.stoppable()
-	c := s.send("Content-Length: 5\r\n\r\norder")
+	stop = s.startStoppable()
+	c := s.sendRaw("Content-Length: 5\r\n\r\norder")
 	<-waiting
 	c.Close()
-	<-gone
+	<-dialEnded
 	s.server.Close()
 	line := lines.FilterMessage("request").All()[0].ContextMap()
-	if _, told := line["caller_status"]; told || line["caller_got"] != string(receipt.Nothing) {
+	if _, hasStatus := line["caller_status"]; hasStatus || line["caller_got"] != string(receipt.Nothing) {
 		t.Errorf("the line says %v, status %v", line["caller_got"], line["caller_status"])
 	}
 	if n := metrics.GetOrRegisterCounter("gateway.requests.non_idempotent.left", s.gateway.Metrics).Count(); n != 1 {
--- a/internal/coordination/gateway/sync_test.go
+++ b/internal/coordination/gateway/sync_test.go
@@ -12,21 +12,21 @@
 	"limpetwall/internal/state/routes"
 )
 
-// TestConnectionsToAnEarlierStart lets an endpoint start again under its id, at its address,
+// TestConnectionsToPreviousIncarnationAreDiscarded lets an endpoint start again under its id, at its address,
 // while a connection to it is idle.
 //
 // The connection is dead, though nothing has told this process so. A request that may not be
 // repeated would be lost on it: it must go out on a new one. Without a restart the
 // connection is kept.
-func TestConnectionsToAnEarlierStart(t *testing.T) {
-	var opened atomic.Int64
+func TestConnectionsToPreviousIncarnationAreDiscarded(t *testing.T) {
+	var connections atomic.Int64
 	endpoint := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(headerID, r.Header.Get(headerID))
 		w.Write([]byte("a"))
 	}))
 	endpoint.Config.ConnState = func(_ net.Conn, s http.ConnState) {
 		if s == http.StateNew {
-			opened.Add(1)
+			connections.Add(1)
 		}
 	}
 	endpoint.Start()
@@ -41,7 +41,7 @@
 		if resp, _, err := s.do(s.newRequest("PUT", "/r/x", "b")); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v %v", resp, err)
 		}
-		if got := opened.Load(); got != row.connections {
+		if got := connections.Load(); got != row.connections {
 			t.Errorf("request %d: %d connections were opened, want %d", n+1, got, row.connections)
 		}
 	}
--- a/internal/coordination/gateway/weights_test.go
+++ b/internal/coordination/gateway/weights_test.go
@@ -17,21 +17,21 @@
 	"limpetwall/internal/transport/ring"
 )
 
-// newKeeper returns a keeper that knows no store.
-func newKeeper() *contextcache.Tracker {
+// newContextTracker returns a keeper that knows no store.
+func newContextTracker() *contextcache.Tracker {
 	return contextcache.NewTracker(nil, zap.NewNop(), "a", time.Now)
 }
 
-// TestReplacedWeightsThatDoNotBegin sends a prompt to an endpoint whose weights are
+// TestRunThatDoesNotBeginBeforeWeightsAreReplaced sends a prompt to an endpoint whose weights are
 // replaced meanwhile; it waits in the endpoint's queue.
 //
 // Before the endpoint could begin with the old weights the request is given up, its
 // connection closes, and the caller is told at once.
-func TestReplacedWeightsThatDoNotBegin(t *testing.T) {
-	left := make(chan struct{}, 1)
+func TestRunThatDoesNotBeginBeforeWeightsAreReplaced(t *testing.T) {
+	closed := make(chan struct{}, 1)
 	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, _ *http.Request) {
 		io.Copy(io.Discard, c)
-		left <- struct{}{}
+		closed <- struct{}{}
 	})
 	state := s.gateway.State
 	state.BeginWithin = 50 * time.Millisecond
@@ -41,15 +41,15 @@
 	if err != nil || resp.StatusCode != 502 || resp.Header.Get("X-Limpetwall-Ran") != "unknown" {
 		t.Errorf("%v %v", resp, err)
 	}
-	<-left
+	<-closed
 }
 
-// TestEngineWithOtherWeightsIsAsked sends prompts to an engine that has loaded new weights,
+// TestEngineIsQueriedAfterWeightMismatch sends prompts to an engine that has loaded new weights,
 // from a process that the store does not answer.
 //
 // The engine rejects what names the old ones. Asked, it tells what it has, and the next
 // prompt names that; a crowd of rejections asks once.
-func TestEngineWithOtherWeightsIsAsked(t *testing.T) {
+func TestEngineIsQueriedAfterWeightMismatch(t *testing.T) {
 	list := singleRoute(routes.Streaming, 1)
 	// The engine closes each connection: the next prompt must not go out on it.
 	misdirect := respond(421, "")
@@ -66,11 +66,11 @@
 	})
 	s.gateway.State.SetRoutes(routes.New(2, 10, list, []routes.Service{{Name: "s", Engine: &routes.Engine{Slots: 4}}},
 		[]routes.Customer{{Name: "club", Keys: []string{"key"}}}, routes.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20}))
-	s.gateway.ContextTracker = newKeeper()
+	s.gateway.ContextTracker = newContextTracker()
 	s.gateway.WeightQueries = ring.New[string](MaxWeightQueries)
-	asked := make(chan string, MaxWeightQueries)
+	queried := make(chan string, MaxWeightQueries)
 	s.gateway.QueryWeights = func(_ context.Context, i discovery.Instance) (EngineReport, error) {
-		asked <- i.ID
+		queried <- i.ID
 		return EngineReport{Weights: 2}, nil
 	}
 	prompt := func() int {
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go s.gateway.RunWeightQueries(ctx)
-	<-asked
+	<-queried
 	for {
 		if i, _ := s.gateway.State.Instance("i-0"); i.Weights == 2 {
 			break
@@ -99,7 +99,7 @@
 	if status := prompt(); status != 200 {
 		t.Errorf("the weights that it told of get %d", status)
 	}
-	if len(asked) > 0 {
-		t.Errorf("asked %d times more", len(asked))
+	if len(queried) > 0 {
+		t.Errorf("asked %d times more", len(queried))
 	}
 }
