--- a/internal/coordination/loadreport/exchanger.go
+++ b/internal/coordination/loadreport/exchanger.go
@@ -93,43 +93,43 @@
 }
 
 // Run exchanges reports until ctx ends, and then says that this process leaves.
-func (s *Exchanger) Run(ctx context.Context) {
-	s.mu.Lock()
-	s.peers, s.silent = map[netip.AddrPort]*peer{}, map[netip.AddrPort]bool{}
-	s.mu.Unlock()
+func (e *Exchanger) Run(ctx context.Context) {
+	e.mu.Lock()
+	e.peers, e.silent = map[netip.AddrPort]*peer{}, map[netip.AddrPort]bool{}
+	e.mu.Unlock()
 	var workers sync.WaitGroup
-	workers.Go(s.receive)
-	workers.Go(func() { s.runRegistration(ctx) })
+	workers.Go(e.receive)
+	workers.Go(func() { e.runRegistration(ctx) })
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ticker.C:
-			s.sendReport(false, fanout)
-			s.Directory.ExpirePeers(time.Now())
+			e.sendReport(false, fanout)
+			e.Directory.ExpirePeers(time.Now())
 		case <-ctx.Done():
 		}
 	}
-	s.sendReport(true, math.MaxInt)
-	s.Conn.Close()
+	e.sendReport(true, math.MaxInt)
+	e.Conn.Close()
 	workers.Wait()
 }
 
 // Hosts lists the hosts of the other processes that are known, of all failure domains.
-func (s *Exchanger) Hosts() []netip.Addr {
-	return s.hosts(func(*peer) bool { return true })
+func (e *Exchanger) Hosts() []netip.Addr {
+	return e.hosts(func(*peer) bool { return true })
 }
 
 // DomainHosts lists those of this process's own failure domain that have not stopped.
-func (s *Exchanger) DomainHosts() []netip.Addr {
-	return s.hosts(func(p *peer) bool { return p.domain == s.Domain && !p.hasLeft })
+func (e *Exchanger) DomainHosts() []netip.Addr {
+	return e.hosts(func(p *peer) bool { return p.domain == e.Domain && !p.hasLeft })
 }
 
-func (s *Exchanger) hosts(matches func(*peer) bool) []netip.Addr {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	out := make([]netip.Addr, 0, len(s.peers))
-	for address, p := range s.peers {
+func (e *Exchanger) hosts(matches func(*peer) bool) []netip.Addr {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	out := make([]netip.Addr, 0, len(e.peers))
+	for address, p := range e.peers {
 		if matches(p) {
 			out = append(out, address.Addr())
 		}
@@ -138,41 +138,41 @@
 }
 
 // Processes counts the known processes, this one included.
-func (s *Exchanger) Processes() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.peers) + 1
+func (e *Exchanger) Processes() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return len(e.peers) + 1
 }
 
 // sendReport sends what is underway to the next peers in turn.
-func (s *Exchanger) sendReport(leaving bool, limit int) {
-	targets := s.nextTargets(limit)
+func (e *Exchanger) sendReport(leaving bool, limit int) {
+	targets := e.nextTargets(limit)
 	if len(targets) == 0 {
 		return
 	}
-	s.lastNumber++
+	e.lastNumber++
 	data, err := encode(routing.PeerReport{
-		Sender: s.Incarnation, Number: s.lastNumber, Domain: s.Domain, Work: s.Directory.OwnWork(), Leaving: leaving,
+		Sender: e.Incarnation, Number: e.lastNumber, Domain: e.Domain, Work: e.Directory.OwnWork(), Leaving: leaving,
 	})
 	if err != nil {
-		s.Log.Error("work report", zap.Error(err))
+		e.Log.Error("work report", zap.Error(err))
 		return
 	}
 	for _, to := range targets {
 		// A datagram may be lost anyway: the next report follows.
-		s.Conn.WriteTo(data, net.UDPAddrFromAddrPort(to))
+		e.Conn.WriteTo(data, net.UDPAddrFromAddrPort(to))
 	}
 }
 
 // nextTargets picks the next peers to be told.
-func (s *Exchanger) nextTargets(limit int) []netip.AddrPort {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (e *Exchanger) nextTargets(limit int) []netip.AddrPort {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	now := time.Now()
-	s.evictSilent(now)
-	list := make([]netip.AddrPort, 0, len(s.peers))
-	for address, p := range s.peers {
-		if p.domain == s.Domain || len(s.peers) <= smallFleet {
+	e.evictSilent(now)
+	list := make([]netip.AddrPort, 0, len(e.peers))
+	for address, p := range e.peers {
+		if p.domain == e.Domain || len(e.peers) <= smallFleet {
 			list = append(list, address)
 			continue
 		}
@@ -183,9 +183,9 @@
 	limit = min(limit, len(list))
 	out := make([]netip.AddrPort, 0, limit)
 	for range limit {
-		s.lastTarget = (s.lastTarget + 1) % len(list)
-		out = append(out, list[s.lastTarget])
-		if p := s.peers[list[s.lastTarget]]; p.reportedSince.IsZero() {
+		e.lastTarget = (e.lastTarget + 1) % len(list)
+		out = append(out, list[e.lastTarget])
+		if p := e.peers[list[e.lastTarget]]; p.reportedSince.IsZero() {
 			p.reportedSince = now
 		}
 	}
@@ -193,62 +193,62 @@
 }
 
 // evictSilent drops the peers that say nothing; s.mu is held.
-func (s *Exchanger) evictSilent(now time.Time) {
-	for address, p := range s.peers {
+func (e *Exchanger) evictSilent(now time.Time) {
+	for address, p := range e.peers {
 		if p.silentFor(now) > silenceTimeout {
-			delete(s.peers, address)
-			s.silent[address] = true
+			delete(e.peers, address)
+			e.silent[address] = true
 		}
 	}
 }
 
 // receive takes in reports until the connection is closed. A sender that the registry
 // has not named yet is a peer from now on.
-func (s *Exchanger) receive() {
-	datagram.Each(s.Conn, func(data []byte, from net.Addr) {
+func (e *Exchanger) receive() {
+	datagram.Each(e.Conn, func(data []byte, from net.Addr) {
 		report, err := decode(data)
 		if err != nil {
-			s.Log.Warn("work report does not decode", zap.Stringer("from", from), zap.Error(err))
+			e.Log.Warn("work report does not decode", zap.Stringer("from", from), zap.Error(err))
 			return
 		}
-		s.handleReport(report, from)
+		e.handleReport(report, from)
 	})
 }
 
-func (s *Exchanger) handleReport(r routing.PeerReport, from net.Addr) {
+func (e *Exchanger) handleReport(r routing.PeerReport, from net.Addr) {
 	now := time.Now()
-	s.Directory.ApplyPeerReport(r, now)
+	e.Directory.ApplyPeerReport(r, now)
 	udp, ok := from.(*net.UDPAddr)
 	if !ok {
 		return
 	}
 	address := udp.AddrPort()
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	if r.Leaving {
-		if p := s.peers[address]; p != nil {
+		if p := e.peers[address]; p != nil {
 			p.hasLeft = true
 		}
 		return
 	}
-	if s.peers[address] == nil {
-		s.Log.Info("peer heard", zap.Stringer("address", address), zap.String("domain", r.Domain))
-		s.peers[address] = &peer{}
+	if e.peers[address] == nil {
+		e.Log.Info("peer heard", zap.Stringer("address", address), zap.String("domain", r.Domain))
+		e.peers[address] = &peer{}
 	}
-	p := s.peers[address]
+	p := e.peers[address]
 	p.domain, p.lastSeen, p.hasLeft = r.Domain, now, false
-	delete(s.silent, address)
+	delete(e.silent, address)
 }
 
 // runRegistration enters this process in the registry and reads the others from it. Of two
 // that start together the later finds the earlier there and reports to it, so each
 // learns of the other.
-func (s *Exchanger) runRegistration(ctx context.Context) {
+func (e *Exchanger) runRegistration(ctx context.Context) {
 	next := settleDelay
 	for ctx.Err() == nil {
 		wait := registryRetryDelay
-		if err := s.registerOnce(ctx); err != nil {
-			s.Log.Warn("registry of peers does not answer", zap.Error(err))
+		if err := e.registerOnce(ctx); err != nil {
+			e.Log.Warn("registry of peers does not answer", zap.Error(err))
 		} else {
 			wait, next = next, registryInterval
 		}
@@ -256,15 +256,15 @@
 	}
 }
 
-func (s *Exchanger) registerOnce(ctx context.Context) error {
+func (e *Exchanger) registerOnce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	own := registryKey(s.Domain, s.Address)
-	_, err := s.Registry.Put(ctx, own, []byte{}, 0)
+	own := registryKey(e.Domain, e.Address)
+	_, err := e.Registry.Put(ctx, own, []byte{}, 0)
 	if err != nil && !errors.Is(err, objectapi.ErrConflict) {
 		return err
 	}
-	list, err := s.Registry.List(ctx, registryPrefix)
+	list, err := e.Registry.List(ctx, registryPrefix)
 	if err != nil {
 		return err
 	}
@@ -272,47 +272,47 @@
 	for _, o := range list {
 		domain, address, err := parseRegistryKey(o.Key)
 		if err != nil {
-			s.Log.Error("registry of peers", zap.String("key", o.Key), zap.Error(err))
+			e.Log.Error("registry of peers", zap.String("key", o.Key), zap.Error(err))
 			continue
 		}
 		present[address] = true
-		if address != s.Address && s.addListed(domain, address) {
-			s.removeEntry(ctx, o)
+		if address != e.Address && e.addListed(domain, address) {
+			e.removeEntry(ctx, o)
 		}
 	}
-	s.evictUnlisted(present)
+	e.evictUnlisted(present)
 	return nil
 }
 
 // evictUnlisted drops the peers that only the registry spoke of, and does no more.
-func (s *Exchanger) evictUnlisted(present map[netip.AddrPort]bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for address, p := range s.peers {
+func (e *Exchanger) evictUnlisted(present map[netip.AddrPort]bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for address, p := range e.peers {
 		if p.reportedSince.IsZero() && !present[address] {
-			delete(s.peers, address)
+			delete(e.peers, address)
 		}
 	}
 }
 
 // addListed notes a peer that the registry names. True asks for the entry's removal: the
 // peer has been told of this process for long and has said nothing.
-func (s *Exchanger) addListed(domain string, address netip.AddrPort) (remove bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.silent[address] {
-		delete(s.silent, address)
+func (e *Exchanger) addListed(domain string, address netip.AddrPort) (remove bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.silent[address] {
+		delete(e.silent, address)
 		return true
 	}
-	if s.peers[address] == nil {
-		s.peers[address] = &peer{domain: domain, lastSeen: time.Now()}
+	if e.peers[address] == nil {
+		e.peers[address] = &peer{domain: domain, lastSeen: time.Now()}
 	}
 	return false
 }
 
 // removeEntry removes an entry of a process that is gone. One that lives, and was only not
 // heard, enters itself again when it reads the registry.
-func (s *Exchanger) removeEntry(ctx context.Context, o objectapi.Object) {
-	err := s.Registry.Delete(ctx, o.Key, o.Version)
-	s.Log.Info("silent peer taken out of the registry", zap.String("key", o.Key), zap.Error(err))
+func (e *Exchanger) removeEntry(ctx context.Context, o objectapi.Object) {
+	err := e.Registry.Delete(ctx, o.Key, o.Version)
+	e.Log.Info("silent peer taken out of the registry", zap.String("key", o.Key), zap.Error(err))
 }
--- a/internal/coordination/loadreport/exchanger_test.go
+++ b/internal/coordination/loadreport/exchanger_test.go
@@ -131,29 +131,29 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet()
 		f.registry.down.Store(true)
-		var members []*process
+		var processes []*process
 		for n := 1; n <= 4; n++ {
-			members = append(members, f.start(t, n, "a"))
+			processes = append(processes, f.start(t, n, "a"))
 		}
 		time.Sleep(10 * time.Second)
-		if len(members[0].senders()) != 0 {
+		if len(processes[0].senders()) != 0 {
 			t.Error("heard without a registry")
 		}
 		f.registry.down.Store(false)
 		time.Sleep(10 * time.Second)
-		members = append(members, f.start(t, 5, "b"))
+		processes = append(processes, f.start(t, 5, "b"))
 		time.Sleep(10 * time.Second)
-		for i, m := range members {
+		for i, m := range processes {
 			if got := m.senders(); len(got) != 4 {
 				t.Errorf("process %d heard %v", i+1, got)
 			}
 		}
-		members[4].stop()
+		processes[4].stop()
 		time.Sleep(time.Second)
-		if got := members[0].senders(); slices.Contains(got, 5) {
+		if got := processes[0].senders(); slices.Contains(got, 5) {
 			t.Error("a process that left still counts")
 		}
-		for _, m := range members[:4] {
+		for _, m := range processes[:4] {
 			m.stop()
 		}
 	})
@@ -189,18 +189,18 @@
 func TestLargeFleetReportsWithinDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet()
-		var members []*process
+		var processes []*process
 		for n := 1; n <= 12; n++ {
-			members = append(members, f.start(t, n, fmt.Sprint("d", n%2)))
+			processes = append(processes, f.start(t, n, fmt.Sprint("d", n%2)))
 		}
 		time.Sleep(20 * time.Second)
 		f.network.Sent()
-		for _, m := range members {
+		for _, m := range processes {
 			m.reset()
 		}
 		const seconds = 10
 		time.Sleep(seconds * time.Second)
-		for i, m := range members {
+		for i, m := range processes {
 			if got := m.senders(); len(got) != 5 {
 				t.Errorf("process %d heard %v", i+1, got)
 			}
@@ -210,7 +210,7 @@
 		if rounds := seconds*int(time.Second/reportInterval) + 1; sent > 12*fanout*rounds {
 			t.Errorf("%d reports in %d rounds of 12 processes", sent, rounds)
 		}
-		for _, m := range members {
+		for _, m := range processes {
 			m.stop()
 		}
 	})
@@ -225,16 +225,16 @@
 func TestLiveProcessesStayInRegistry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet()
-		var members []*process
+		var processes []*process
 		for n := 1; n <= 12; n++ {
-			members = append(members, f.start(t, n, fmt.Sprint("d", n%2)))
+			processes = append(processes, f.start(t, n, fmt.Sprint("d", n%2)))
 			time.Sleep(25 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Minute)
 		if deleted := f.registry.deleted.Load(); deleted != 0 {
 			t.Errorf("%d entries of living processes taken out", deleted)
 		}
-		for _, m := range members {
+		for _, m := range processes {
 			m.stop()
 		}
 	})
