--- a/internal/coordination/gateway/crash.go
+++ b/internal/coordination/gateway/crash.go
@@ -203,38 +203,38 @@
 	searching bool
 }
 
-func (w *pendingRuns) add(run *pendingRun) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.runs == nil {
-		w.runs = map[*pendingRun]struct{}{}
+func (p *pendingRuns) add(run *pendingRun) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.runs == nil {
+		p.runs = map[*pendingRun]struct{}{}
 	}
-	w.runs[run] = struct{}{}
+	p.runs[run] = struct{}{}
 }
 
-func (w *pendingRuns) remove(run *pendingRun) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.runs, run)
+func (p *pendingRuns) remove(run *pendingRun) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.runs, run)
 }
 
 // onBlame has the runs of a request called back.
-func (w *pendingRuns) onBlame(key fingerprint.Key) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.blamed == nil {
-		w.blamed = map[fingerprint.Key]struct{}{}
+func (p *pendingRuns) onBlame(key fingerprint.Key) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.blamed == nil {
+		p.blamed = map[fingerprint.Key]struct{}{}
 	}
-	w.blamed[key] = struct{}{}
-	if !w.searching {
-		w.searching = true
-		go w.cancelBlamed()
+	p.blamed[key] = struct{}{}
+	if !p.searching {
+		p.searching = true
+		go p.cancelBlamed()
 	}
 }
 
-func (w *pendingRuns) cancelBlamed() {
+func (p *pendingRuns) cancelBlamed() {
 	for {
-		runs, blamed := w.drainBlamed()
+		runs, blamed := p.drainBlamed()
 		if len(blamed) == 0 {
 			return
 		}
@@ -247,13 +247,13 @@
 }
 
 // drainBlamed returns the requests to look for, and where; none if all are done.
-func (w *pendingRuns) drainBlamed() ([]*pendingRun, map[fingerprint.Key]struct{}) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	blamed := w.blamed
-	w.blamed = nil
-	w.searching = len(blamed) > 0
-	return slices.Collect(maps.Keys(w.runs)), blamed
+func (p *pendingRuns) drainBlamed() ([]*pendingRun, map[fingerprint.Key]struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	blamed := p.blamed
+	p.blamed = nil
+	p.searching = len(blamed) > 0
+	return slices.Collect(maps.Keys(p.runs)), blamed
 }
 
 // cancelWhenBlamed cancels an attempt once its request is to blame; it would crash this endpoint as well. The returned
@@ -262,14 +262,14 @@
 	if x.g.Guard == nil || x.onTrial {
 		return func() {}
 	}
-	w := &x.g.pendingRuns
-	w.subscribe.Do(func() { x.g.Guard.Quarantines.OnBlame(w.onBlame) })
+	pending := &x.g.pendingRuns
+	pending.subscribe.Do(func() { x.g.Guard.Quarantines.OnBlame(pending.onBlame) })
 	run := &pendingRun{x.identity(), x.body, cancel}
-	w.add(run)
+	pending.add(run)
 	if !x.g.Guard.IsIdle() && x.g.Guard.IsBlocked(x.fingerprint()) {
 		cancel(errBlamed)
 	}
-	return func() { w.remove(run) }
+	return func() { pending.remove(run) }
 }
 
 // isRetryBlocked tells whether a request must not be sent to another endpoint. After a run that broke it waits for what
--- a/internal/coordination/gateway/crash_test.go
+++ b/internal/coordination/gateway/crash_test.go
@@ -221,11 +221,11 @@
 }
 
 // waitIdle returns when nobody looks for runs to call back.
-func (w *pendingRuns) waitIdle() {
+func (p *pendingRuns) waitIdle() {
 	for searching := true; searching; runtime.Gosched() {
-		w.mu.Lock()
-		searching = w.searching
-		w.mu.Unlock()
+		p.mu.Lock()
+		searching = p.searching
+		p.mu.Unlock()
 	}
 }
 
--- a/internal/coordination/gateway/prompt.go
+++ b/internal/coordination/gateway/prompt.go
@@ -85,16 +85,16 @@
 
 // planTransfers says where a send's context comes from and goes to. Without a known
 // version of weights nothing is shared: what an engine keeps may be of any.
-func (x *exchange) planTransfers(s *Attempt, p promptContext, c routing.Choice) {
+func (x *exchange) planTransfers(a *Attempt, p promptContext, c routing.Choice) {
 	weights, err := strconv.ParseInt(c.Member.Endpoint.WeightVersion, 10, 64)
 	if err != nil || x.g.ContextTracker == nil {
 		return
 	}
-	s.Weights, s.CacheSalt = weights, contextcache.Salt(p.sharingGroup, x.call.Model, c.Member.Endpoint.WeightVersion)
-	plan := x.g.ContextTracker.Plan(s.CacheSalt, strconv.FormatUint(p.placementHash, 36), p.segments, c.Member.Address, x.route.Objective)
-	s.ImportFrom, s.ExportTo = x.padToSegments(plan.ImportFrom), x.padToSegments(plan.SaveTo)
+	a.Weights, a.CacheSalt = weights, contextcache.Salt(p.sharingGroup, x.call.Model, c.Member.Endpoint.WeightVersion)
+	plan := x.g.ContextTracker.Plan(a.CacheSalt, strconv.FormatUint(p.placementHash, 36), p.segments, c.Member.Address, x.route.Objective)
+	a.ImportFrom, a.ExportTo = x.padToSegments(plan.ImportFrom), x.padToSegments(plan.SaveTo)
 	if strings.Join(plan.ImportFrom, "") != "" {
-		s.ImportUntil = plan.ImportDeadline
+		a.ImportUntil = plan.ImportDeadline
 	}
 	x.storedTokens = plan.StoredTokens
 }
--- a/internal/coordination/gateway/relocate.go
+++ b/internal/coordination/gateway/relocate.go
@@ -90,11 +90,11 @@
 }
 
 // watchRelocation starts a relocation for an attempt; ctx is the attempt's, and cut ends it.
-func (x *exchange) watchRelocation(ctx context.Context, cut func(), c routing.Choice, send Attempt) *relocation {
+func (x *exchange) watchRelocation(ctx context.Context, cut func(), c routing.Choice, attempt Attempt) *relocation {
 	r := &relocation{done: make(chan struct{})}
 	ctx, r.stop = context.WithCancel(ctx)
 	emptying := x.g.State.Emptying(c.Member.ID)
-	if x.g.Copier == nil || emptying == nil || send.Weights == 0 {
+	if x.g.Copier == nil || emptying == nil || attempt.Weights == 0 {
 		close(r.done)
 		return r
 	}
