--- a/internal/coordination/gateway/crash_test.go
+++ b/internal/coordination/gateway/crash_test.go
@@ -40,7 +40,7 @@
 //
 // A lost answer or a reset connection that counted as a crash would have the request blamed for it.
 func TestCrashDetection(t *testing.T) {
-	torn := func(c net.Conn, r *http.Request) {
+	truncated := func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 50\r\n\r\nhalf", headerID, r.Header.Get(headerID))
 	}
 	reset := func(c net.Conn, _ *http.Request) { c.(*net.TCPConn).SetLinger(0) }
@@ -54,10 +54,10 @@
 	}{
 		{"a crash", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r) }, false, true},
 		{"a crash inside a stream", routes.Streaming, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r); respondStream("", "1")(c, r) }, false, true},
-		{"a crash inside an answer", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r); torn(c, r) }, false, true},
+		{"a crash inside an answer", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r); truncated(c, r) }, false, true},
 		{"the end of one that leaves", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r) }, true, false},
 		{"a lost answer", routes.NonIdempotent, closeConn, false, false},
-		{"a torn answer", routes.NonIdempotent, torn, false, false},
+		{"a torn answer", routes.NonIdempotent, truncated, false, false},
 		{"a reset connection", routes.NonIdempotent, reset, false, false},
 		{"a failure", routes.NonIdempotent, respond(500, "sorry"), false, false},
 	}
@@ -92,9 +92,9 @@
 // newCrashingServer has endpoints that crash on the body "poison", by ending the answer that begin makes.
 func newCrashingServer(t *testing.T, kind routes.Kind, attempts, endpoints int, begin responder) *testServer {
 	var s *testServer
-	scripts := make([]responder, endpoints)
-	for i := range scripts {
-		scripts[i] = func(c net.Conn, r *http.Request) {
+	responders := make([]responder, endpoints)
+	for i := range responders {
+		responders[i] = func(c net.Conn, r *http.Request) {
 			if s.endpoints[i].lastBody() == "poison" {
 				s.crashEndpoint(i)(c, r)
 				begin(c, r)
@@ -105,7 +105,7 @@
 	}
 	list := singleRoute(kind, attempts)
 	list[0].Resumable = true
-	s = newTestServer(t, list, scripts...)
+	s = newTestServer(t, list, responders...)
 	s.addGuard()
 	return s
 }
@@ -192,8 +192,8 @@
 // TestFullEndpointDoesNotUseUpTrial guards against a request that stays in quarantine because the first endpoint of its only
 // trial was full.
 func TestFullEndpointDoesNotUseUpTrial(t *testing.T) {
-	play := firstThen(reject, respond(200, "a"))
-	s := newTestServer(t, singleRoute(routes.NonIdempotent, 2), play, play)
+	rejectFirst := firstThen(reject, respond(200, "a"))
+	s := newTestServer(t, singleRoute(routes.NonIdempotent, 2), rejectFirst, rejectFirst)
 	guard := s.addGuard()
 	now := time.Now()
 	guard.Now = func() time.Time { return now }
@@ -248,14 +248,14 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			var blame func()
-			play := func(c net.Conn, r *http.Request) {
+			blameAndBlock := func(c net.Conn, r *http.Request) {
 				row.begin(c, r)
 				blame()
 				waitForClose(c, r)
 			}
 			list := singleRoute(row.kind, 2)
 			list[0].Timeout, list[0].Resumable = 5*time.Second, true
-			s := newTestServer(t, list, play, play)
+			s := newTestServer(t, list, blameAndBlock, blameAndBlock)
 			_, blame = testRequestKey(s.addGuard())
 			resp, body, err := s.do(s.newRequest("POST", "/r/x", "b"))
 			if err != nil || resp.StatusCode != http.StatusBadGateway || !strings.Contains(body, apierror.CodeOutcomeUnknown) {
--- a/internal/coordination/gateway/reconfigure_test.go
+++ b/internal/coordination/gateway/reconfigure_test.go
@@ -16,15 +16,15 @@
 
 // stateChanger changes what a gateway believes, again and again, until it is ended.
 type stateChanger struct {
-	site     *testServer
+	server   *testServer
 	kind     routes.Kind
 	revision uint64
 }
 
 // changeRoutes puts in force a configuration in which the route leads to the service, without it, without the customer, or
 // with the service as one of engines.
-func (w *stateChanger) changeRoutes(n int) {
-	list := singleRoute(w.kind, 3)
+func (c *stateChanger) changeRoutes(n int) {
+	list := singleRoute(c.kind, 3)
 	list[0].Resumable = true
 	services := []routes.Service{{Name: "s"}, {Name: "other"}}
 	customers := []routes.Customer{{Name: "club", Keys: []string{"key"}}}
@@ -41,23 +41,23 @@
 	if n%2 == 0 {
 		services = append(services, routes.Service{Name: "store", Store: &routes.Store{Address: "10.0.0.9:1", MemoryTokens: n, Managed: n%4 == 0}})
 	}
-	table := routes.New(w.revision, w.revision, list, services, customers, routes.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20})
-	w.site.gateway.State.SetRoutes(table)
-	w.site.gateway.ContextTracker.SetStores(table.Services)
+	table := routes.New(c.revision, c.revision, list, services, customers, routes.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20})
+	c.server.gateway.State.SetRoutes(table)
+	c.server.gateway.ContextTracker.SetStores(table.Services)
 }
 
 // changeInstance has an endpoint listed, leaving, of another service, restarted or gone.
-func (w *stateChanger) changeInstance(n int) {
-	state := w.site.gateway.State
-	e := w.site.endpoints[n%len(w.site.endpoints)]
-	i := discovery.Instance{ID: e.id, Revision: w.revision, Service: "s", Address: e.address, Domain: "a", Slots: 4}
+func (c *stateChanger) changeInstance(n int) {
+	state := c.server.gateway.State
+	e := c.server.endpoints[n%len(c.server.endpoints)]
+	i := discovery.Instance{ID: e.id, Revision: c.revision, Service: "s", Address: e.address, Domain: "a", Slots: 4}
 	switch n % 7 {
 	case 1:
 		i.Leaving = true
 	case 2:
 		i.Service = "other"
 	case 3:
-		i.Born = int64(w.revision)
+		i.Born = int64(c.revision)
 	case 4:
 		i.Model, i.Weights = "m", 1
 	case 5:
@@ -70,23 +70,23 @@
 	state.SetInstance(i)
 }
 
-func (w *stateChanger) change(n int) {
-	w.revision++
-	w.changeRoutes(n)
-	w.revision++
-	w.changeInstance(n)
-	w.site.gateway.syncEndpoints(nil)
-	w.site.gateway.Pool.Forget(w.site.endpoints[n%len(w.site.endpoints)].address)
+func (c *stateChanger) change(n int) {
+	c.revision++
+	c.changeRoutes(n)
+	c.revision++
+	c.changeInstance(n)
+	c.server.gateway.syncEndpoints(nil)
+	c.server.gateway.Pool.Forget(c.server.endpoints[n%len(c.server.endpoints)].address)
 }
 
 // run swaps until done is closed.
-func (w *stateChanger) run(done <-chan struct{}) {
+func (c *stateChanger) run(done <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
 		case <-done:
 			return
 		default:
-			w.change(n)
+			c.change(n)
 		}
 	}
 }
@@ -109,9 +109,9 @@
 // endpoints change under a request.
 func TestEveryCallerIsAnsweredDuringChanges(t *testing.T) {
 	rows := []struct {
-		kind  routes.Kind
-		plays []responder
-		whole string
+		kind       routes.Kind
+		responders []responder
+		whole      string
 		// canBreak allows answers to break off once they have begun.
 		canBreak bool
 	}{
@@ -121,12 +121,12 @@
 	}
 	for _, row := range rows {
 		t.Run(row.kind.String(), func(t *testing.T) {
-			s := newTestServer(t, singleRoute(row.kind, 3), row.plays...)
+			s := newTestServer(t, singleRoute(row.kind, 3), row.responders...)
 			s.gateway.ContextTracker, s.gateway.Copier = newContextTracker(), &flakyCopier{}
 			guard := s.addGuard()
 			done := make(chan struct{})
 			var changers, callers sync.WaitGroup
-			changers.Go(func() { (&stateChanger{site: s, kind: row.kind, revision: 100}).run(done) })
+			changers.Go(func() { (&stateChanger{server: s, kind: row.kind, revision: 100}).run(done) })
 			for caller := range 6 {
 				callers.Go(func() {
 					client := &http.Client{Transport: &http.Transport{}}
--- a/internal/coordination/gateway/stale_test.go
+++ b/internal/coordination/gateway/stale_test.go
@@ -62,15 +62,15 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			var arrivals atomic.Int32
-			counted := func(play responder) responder {
+			countArrivals := func(next responder) responder {
 				return func(c net.Conn, r *http.Request) {
 					arrivals.Add(1)
-					play(c, r)
+					next(c, r)
 				}
 			}
 			list := singleRoute(row.kind, row.attempts)
 			list[0].Resumable = true
-			s := newTestServer(t, list, firstThen(keepAlive(counted(row.reused)), counted(row.fresh)))
+			s := newTestServer(t, list, firstThen(keepAlive(countArrivals(row.reused)), countArrivals(row.fresh)))
 			s.gateway.RetryBudget = runs.NewRetryBudget(0, row.budget)
 			if resp, body, err := s.do(s.newRequest("POST", "/r/x", "order")); err != nil || resp.StatusCode != 200 {
 				t.Fatalf("%v %q %v", resp, body, err)
--- a/internal/coordination/gateway/stop_test.go
+++ b/internal/coordination/gateway/stop_test.go
@@ -78,12 +78,12 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			waiting := make(chan struct{}, 1)
-			scripts := []responder{blockAfter(waiting, row.before)}
+			responders := []responder{blockAfter(waiting, row.before)}
 			if row.second != nil {
-				both := firstThen(row.second, scripts[0])
-				scripts = []responder{both, both}
+				answerThenBlock := firstThen(row.second, responders[0])
+				responders = []responder{answerThenBlock, answerThenBlock}
 			}
-			s := newTestServer(t, singleRoute(row.kind, 2), scripts...)
+			s := newTestServer(t, singleRoute(row.kind, 2), responders...)
 			if row.unreachable {
 				s.gateway.Pool = upstream.NewPool(blockingDial(waiting, row.second != nil))
 			}
