--- a/internal/coordination/gateway/weights_test.go
+++ b/internal/coordination/gateway/weights_test.go
@@ -80,8 +80,8 @@
 		}
 		return resp.StatusCode
 	}
-	const crowd = 3
-	for range crowd {
+	const rejections = 3
+	for range rejections {
 		if status := prompt(); status != 503 {
 			t.Errorf("old weights get %d", status)
 		}
--- a/internal/coordination/loadreport/exchanger_test.go
+++ b/internal/coordination/loadreport/exchanger_test.go
@@ -169,8 +169,8 @@
 		f.registry.down.Store(true)
 		two.stop()
 		time.Sleep(5 * time.Second)
-		if near := one.exchanger.DomainHosts(); len(near) != 0 {
-			t.Errorf("%v share work after they have stopped", near)
+		if hosts := one.exchanger.DomainHosts(); len(hosts) != 0 {
+			t.Errorf("%v share work after they have stopped", hosts)
 		}
 		two = f.start(t, 2, "a")
 		time.Sleep(time.Second)
