--- a/internal/coordination/gateway/attempt.go
+++ b/internal/coordination/gateway/attempt.go
@@ -13,33 +13,33 @@
 	"limpetwall/internal/transport/upstream"
 )
 
-// outcomeKind tells what became of an attempt.
+// outcomeKind says how an attempt ended.
 type outcomeKind uint8
 
 const (
-	// delivered: the answer is with the caller.
+	// delivered: the whole answer was written to the caller.
 	delivered outcomeKind = iota
 	// notReached: no byte of the request left this process.
 	notReached
-	// rejected: the endpoint says that it did not run the request.
+	// rejected: the endpoint answered that it did not run the request.
 	rejected
-	// answeredFailure: the endpoint ran the request and says that it failed.
+	// answeredFailure: the endpoint ran the request and answered with a failure.
 	answeredFailure
-	// broken: the answer did not come whole; the request may have run.
+	// broken: no complete answer arrived; the request may have run.
 	broken
-	// timedOut: the request's time ended first.
+	// timedOut: the request's deadline passed first.
 	timedOut
-	// callerLeft: the caller left.
+	// callerLeft: the caller disconnected.
 	callerLeft
-	// relocated: the run was copied to another endpoint and stopped; it goes on there.
+	// relocated: the run was copied to another endpoint and stopped here; it continues there.
 	relocated
 	// stopped: this process was forced to stop; the request may have run.
 	stopped
-	// canceledByQuarantine: the request crashes endpoints, and this one had not answered yet.
+	// canceledByQuarantine: the request was found to crash endpoints before this one answered.
 	canceledByQuarantine
 )
 
-// String gives the verdict's name for logs.
+// String returns the name used in logs and in names of metrics.
 func (v outcomeKind) String() string {
 	return [...]string{"delivered", "not_reached", "rejected", "answered_failure", "broken", "timed_out", "caller_gone", "moved_on", "stopped", "called_back"}[v]
 }
@@ -47,31 +47,32 @@
 // outcome is how one attempt ended.
 type outcome struct {
 	kind outcomeKind
-	// answer is a failure that the endpoint gave, to be passed on if no other
-	// attempt does better.
+	// answer is a failure that the endpoint answered. It is forwarded if no later attempt
+	// succeeds.
 	answer *bufferedAnswer
 	err    error
-	// staleConnection: a kept connection ended before anything came back. The endpoint may serve the
-	// request on a fresh one.
+	// staleConnection is set if a reused connection closed before any byte of the answer arrived.
+	// The endpoint may serve the request on a fresh connection.
 	staleConnection bool
-	// stopOrdered: this process had the run stopped, to move it.
+	// stopOrdered is set if this process had the run stopped in order to move it.
 	stopOrdered bool
-	// next is where a run that was moved goes on.
+	// next is where a moved run continues.
 	next *continuation
 }
 
-// bufferedAnswer is a whole answer.
+// bufferedAnswer is an endpoint's answer held in memory.
 type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// maxBufferedBytes bounds the answers that are read whole before they are passed on;
-// a longer one is passed on as it comes.
+// maxBufferedBytes bounds the answers that are read whole before they are forwarded. A longer one is
+// forwarded while it arrives.
 const maxBufferedBytes = 256 << 10
 
-// send makes one attempt up to the head of the answer.
+// send sends the request to an endpoint and reads the status and header of the answer. The response
+// is nil if there is none; the outcome then says why.
 func (x *exchange) send(ctx context.Context, c routing.Choice, a Attempt) (*upstream.Response, Reply, outcome) {
 	header := forwardedHeader(x.r.Header)
 	x.g.Codec.EncodeAttempt(header, a)
@@ -92,14 +93,14 @@
 	return resp, reply, outcome{}
 }
 
-// isOwnAnswer accepts the answers that name this attempt. Refusals may leave the name
-// out; on a connection that carried nothing else they can be no other's.
+// isOwnAnswer reports whether an answer belongs to this attempt by its ID. Refusals may leave the ID
+// out; on a connection that has carried no other request they can't belong to another.
 func (x *exchange) isOwnAnswer(h http.Header, fresh bool) bool {
 	id := x.g.Codec.DecodeReply(0, h).ID
 	return id == x.call.ID || (id == "" && fresh)
 }
 
-// classifyError tells apart why an exchange brought no answer.
+// classifyError returns the outcome of an attempt that failed with err before its answer was complete.
 func (x *exchange) classifyError(ctx context.Context, err error) outcome {
 	switch {
 	case x.hasCallerLeft():
@@ -118,7 +119,9 @@
 	return outcome{kind: broken, err: err}
 }
 
-// handleRejection ends an attempt that the endpoint did not run.
+// handleRejection returns the outcome of an attempt that the endpoint did not run. After a misdirected
+// attempt that required weights, the endpoint is asked for its weights; after any other misdirected
+// attempt, discovery learns that another instance answers at the address.
 func (x *exchange) handleRejection(c routing.Choice, a Attempt, r Reply) outcome {
 	switch {
 	case r.Misdirected && a.Weights > 0:
@@ -129,13 +132,13 @@
 	return outcome{kind: rejected}
 }
 
-// hopByHop headers concern one connection only.
+// hopByHop lists the headers that apply to a single connection and are not forwarded.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// forwardedHeader copies a header without what concerns one connection only.
+// forwardedHeader returns a copy of a header without its hop-by-hop fields.
 func forwardedHeader(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h["Connection"] {
@@ -149,8 +152,8 @@
 	return out
 }
 
-// plainAttempt runs a request whose answer is short: it is passed on when it is
-// whole, so that a broken one can be asked for again.
+// plainAttempt makes an attempt whose answer is not a stream. The answer is forwarded once it is
+// complete, so that the request can be retried if it breaks off.
 func (x *exchange) plainAttempt(ctx context.Context, c routing.Choice, a Attempt) outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -166,11 +169,11 @@
 	return x.handleAnswer(ctx, resp)
 }
 
-// handleAnswer takes an answer that is no stream. A failure is kept, as another endpoint may do
-// better, unless it is too long for that.
+// handleAnswer forwards an answer that is not a stream. A failure is buffered instead, as another
+// endpoint may succeed, unless it is too long for the buffer.
 //
-// Whether a status may be passed on is asked before the length is: a long 503 of a request
-// that ran would promise just as falsely that it did not.
+// The status is checked before the length: a long 503 for a request that ran would promise, just as
+// falsely as a short one, that it did not run.
 func (x *exchange) handleAnswer(ctx context.Context, resp *upstream.Response) outcome {
 	body, err := io.ReadAll(io.LimitReader(resp, maxBufferedBytes))
 	if err != nil {
@@ -189,7 +192,8 @@
 	return outcome{kind: delivered}
 }
 
-// forwardLongAnswer delivers an answer that is too long to be kept.
+// forwardLongAnswer forwards an answer that is too long to be buffered while it arrives. a holds the
+// part read so far.
 func (x *exchange) forwardLongAnswer(ctx context.Context, a *bufferedAnswer, rest *upstream.Response) outcome {
 	x.writeHead(a.status, a.header, rest.Length)
 	x.stream.unresumable = true
@@ -207,7 +211,8 @@
 	return outcome{kind: delivered}
 }
 
-// callerWriter keeps the error of a write to the caller, which a copy's result doesn't tell from one of the endpoint.
+// callerWriter records the error of a write to the caller. The error that io.Copy returns doesn't
+// distinguish it from an error while reading from the endpoint.
 type callerWriter struct {
 	io.Writer
 	err error
@@ -220,8 +225,8 @@
 	return n, err
 }
 
-// canForwardStatus tells whether a status may be passed on for a request that has
-// run: some promise that it did not.
+// canForwardStatus reports whether a status may be forwarded for a request that has run. Some
+// statuses promise that it has not; they are forwarded only for idempotent requests.
 func (x *exchange) canForwardStatus(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -232,18 +237,19 @@
 
 func (x *exchange) writeAnswer(a *bufferedAnswer) {
 	x.writeHead(a.status, a.header, int64(len(a.body)))
-	// A caller that has left is seen by the request's context.
+	// A caller that has left is noticed by the request's context, so the error is ignored.
 	x.w.Write(a.body)
 }
 
-// writeHead passes on an answer's head; length -1 leaves the framing open.
+// writeHead writes an answer's status and header to the caller. With a negative length, net/http
+// chooses the framing.
 func (x *exchange) writeHead(status int, header http.Header, length int64) {
 	out := x.w.Header()
 	for name, values := range forwardedHeader(header) {
 		out[name] = values
 	}
 	if _, typed := out["Content-Type"]; !typed {
-		// Without this net/http would guess one that the endpoint never gave.
+		// Without this, net/http would guess a type that the endpoint did not send.
 		out["Content-Type"] = nil
 	}
 	if length >= 0 && x.r.Method != http.MethodHead {
@@ -253,7 +259,7 @@
 	x.w.WriteHeader(status)
 }
 
-// recordReply takes in what an endpoint's answer tells of it.
+// recordReply records the weights and the load that an endpoint reports in its answer.
 func (g *Gateway) recordReply(c routing.Choice, r Reply) {
 	if r.Weights > 0 {
 		g.State.Observe(c.Member.ID, r.Weights)
--- a/internal/coordination/gateway/call.go
+++ b/internal/coordination/gateway/call.go
@@ -5,86 +5,86 @@
 	"time"
 )
 
-// Segment is one piece of a prompt, named by whoever made it.
+// Segment is one part of a prompt, with the ID that its author gave it.
 type Segment struct {
 	ID     string
 	Tokens int
 }
 
-// Call is what a caller's header says.
+// Call is the content of a caller's header.
 type Call struct {
 	// ID of this attempt of the caller.
 	ID string
-	// Key that the caller presents.
+	// Key is the caller's API key.
 	Key string
-	// Deadline is how long the caller will wait, 0 if it does not say.
+	// Deadline is how long the caller will wait, 0 if it sets no limit.
 	Deadline time.Duration
 	Model    string
-	// PromptTokens and OutputTokens bound the work; 0 for plain calls.
+	// PromptTokens and OutputTokens bound the work. Both are 0 for requests without a prompt.
 	PromptTokens, OutputTokens int
-	// Segments of the prompt in order; the last is the request's own.
+	// Segments are the prompt's segments in order. The last belongs to this request alone.
 	Segments []Segment
-	// LastEvent is the last event of a stream that the caller already has.
+	// LastEvent is the ID of the last event of a stream that the caller has received.
 	LastEvent string
 }
 
-// Attempt is what one attempt at an endpoint says besides the caller's own header.
+// Attempt is what the gateway adds to the caller's header for one attempt at an endpoint.
 type Attempt struct {
-	// Instance is the only one that may run the request.
+	// Instance is the ID of the only instance that may run the request.
 	Instance string
-	// Customer that the caller's key belongs to, empty on public routes.
+	// Customer is the customer whose key the caller presented, empty on public routes.
 	Customer string
-	// TimeLeft of the caller's time.
+	// TimeLeft is the time until the request's deadline.
 	TimeLeft time.Duration
-	// Weights is the version of the model that the endpoint must have; 0 if any.
+	// Weights is the version of the model's weights that the endpoint must have, 0 for any.
 	Weights int64
-	// CacheSalt separates contexts: endpoints reuse only parts under the same one.
+	// CacheSalt separates cached contexts: endpoints reuse only segments with the same salt.
 	CacheSalt string
-	// ImportFrom and ExportTo are addresses for each part, "" for none.
+	// ImportFrom and ExportTo hold an address for each segment, "" for none.
 	ImportFrom, ExportTo []string
-	// ImportUntil is the time, by the endpoints' clock, after which an import that
-	// is not complete is thrown away; 0 for none.
+	// ImportUntil is the time, by the endpoints' clock, after which an incomplete import is
+	// discarded; 0 for no limit.
 	ImportUntil int64
-	// Urgency 0 goes first, 9 last.
+	// Urgency is the scheduling priority at the endpoint: 0 runs first, 9 last.
 	Urgency int
-	// ContinueFrom names the copy of a run that goes on, empty for one that begins.
+	// ContinueFrom names the copied run to continue, empty for a new run.
 	ContinueFrom string
-	// LastEvent to go on after, empty for the whole stream.
+	// LastEvent is the ID of the event after which the stream resumes, empty for the whole stream.
 	LastEvent string
 }
 
-// Load is an endpoint's own count of requests.
+// Load is the number of requests that an endpoint reports, and its slots.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Reply is what an endpoint's answer says besides the answer itself.
+// Reply is the metadata in the header of an endpoint's answer.
 type Reply struct {
-	// ID of the attempt that it answers.
+	// ID is the ID of the attempt that is answered.
 	ID string
-	// NotRun tells that the endpoint did not run the request and never will.
+	// NotRun is set if the endpoint did not run the request and never will.
 	NotRun bool
-	// Misdirected tells that the endpoint is not the instance that the request names, or
+	// Misdirected is set if the endpoint is not the instance that the request names, or
 	// has other weights.
 	Misdirected bool
-	// Load, if HasLoad.
+	// Load is valid only if HasLoad is set.
 	Load    Load
 	HasLoad bool
-	// Weights that answered, 0 if the answer does not say.
+	// Weights is the version of the weights that answered, 0 if the answer does not name it.
 	Weights int64
 }
 
-// Codec translates headers; it is the platform's.
+// Codec translates between headers and the types of this package. The platform implements it.
 type Codec interface {
-	// DecodeCall reads a caller's header; its error names the place.
+	// DecodeCall reads a caller's header. Its error names the invalid header.
 	DecodeCall(h http.Header) (Call, error)
-	// EncodeAttempt changes a header for an endpoint: it takes out what only the system
-	// may say and sets what it says.
+	// EncodeAttempt prepares a header for an endpoint: it removes the headers that only the
+	// system may set, then sets those of the attempt.
 	EncodeAttempt(h http.Header, a Attempt)
-	// DecodeReply reads an answer's header.
+	// DecodeReply reads the header of an endpoint's answer.
 	DecodeReply(status int, h http.Header) Reply
-	// EncodeRetryAfter tells a caller when to come back.
+	// EncodeRetryAfter sets the time after which the caller should retry.
 	EncodeRetryAfter(h http.Header, after time.Duration)
-	// EncodeID names the attempt in an answer of the system's own.
+	// EncodeID sets the ID of the caller's attempt in an answer that the gateway itself gives.
 	EncodeID(h http.Header, id string)
 }
--- a/internal/coordination/gateway/doc.go
+++ b/internal/coordination/gateway/doc.go
@@ -1,4 +1,5 @@
-// Package gateway forwards callers' HTTP requests unchanged to endpoints. It
-// decides who may call, which endpoint runs a request, what may be sent again
-// after a failure, and what a caller is told when nothing more can be done.
+// Package gateway forwards callers' HTTP requests to endpoints without changing them.
+// It authorizes callers, chooses the endpoint for each request, retries or resumes
+// failed attempts where that is safe, and decides which error a caller gets when no
+// endpoint answers.
 package gateway
--- a/internal/coordination/gateway/ending.go
+++ b/internal/coordination/gateway/ending.go
@@ -16,25 +16,27 @@
 	retryAfterJitter = 400 * time.Millisecond
 )
 
-// endingKind has no value for "not yet": a decision names either an ending or an endpoint.
+// endingKind says how an exchange ends. It has no value for "not yet": each decision yields either
+// an ending or an endpoint.
 type endingKind uint8
 
 const (
 	// endAnswered: an attempt has answered the caller.
 	endAnswered endingKind = iota + 1
-	// endBuffered: an endpoint's answer that was kept goes to the caller.
+	// endBuffered: a buffered answer of an endpoint is sent to the caller.
 	endBuffered
-	// endRefused: the caller gets an answer of the gateway's own, if none was begun.
+	// endRefused: the gateway itself answers with an error, unless an answer has begun.
 	endRefused
-	// endCallerLeft: the caller was gone before its answer was whole.
+	// endCallerLeft: the caller disconnected before its answer was complete.
 	endCallerLeft
 )
 
-// ending is how an exchange ends when no more is tried.
+// ending is how an exchange ends after its last attempt.
 //
-// Invariant: what decides on an ending writes nothing to the caller. A kept answer is written by
-// run and a refusal by end, each after the last attempt. Otherwise a further attempt could meet a head that is already written,
-// and its error would cut the connection with the answer still in its buffer.
+// Invariant: code that decides on an ending writes nothing to the caller. A buffered answer is written
+// by run and a refusal by finish, both after the last attempt. Otherwise another attempt could start
+// with the head already written, and its error would cut the connection while the answer is still
+// in the write buffer.
 type ending struct {
 	kind endingKind
 	// answer of endKept.
@@ -45,7 +47,7 @@
 
 func refusalEnding(e *apierror.Error) ending { return ending{kind: endRefused, refusal: e} }
 
-// noEndpointEnding is the ending when none can be chosen.
+// noEndpointEnding returns the ending when no endpoint can be chosen.
 func (x *exchange) noEndpointEnding(why routing.Refusal, sent int, last outcome) ending {
 	if sent > 0 {
 		return x.finalEnding(last, sent)
@@ -57,24 +59,24 @@
 	return notRunEnding(apierror.CodeNoEndpoint, message)
 }
 
-// notRunEnding tells a caller to come back with a request that no endpoint ran.
+// notRunEnding returns a refusal that asks the caller to retry a request that no endpoint ran.
 func notRunEnding(code, message string) ending {
 	return refusalEnding(apierror.Later(http.StatusServiceUnavailable, code, message, retryAfter()))
 }
 
-// retryAfter spreads the callers that were refused together.
+// retryAfter returns a Retry-After with jitter, which spreads the retries of callers refused together.
 func retryAfter() time.Duration {
 	return retryAfterMin + time.Duration(rand.Int64N(int64(retryAfterJitter)))
 }
 
-// finalEnding is the ending when nothing more is tried. Only what is proved not to have
-// run is told so; all else is unknown.
+// finalEnding returns the ending after the last attempt. It says that a request did not run only if
+// that is certain; otherwise the outcome is unknown.
 func (x *exchange) finalEnding(last outcome, sent int) ending {
 	if x.hasCallerLeft() {
 		return ending{kind: endCallerLeft}
 	}
-	// First of all what an endpoint has said: it is ready and tells more than any error of the
-	// gateway's own, also than that the time is up.
+	// A buffered failure of an endpoint goes first: it is available and says more than any error of
+	// the gateway's own, including that the deadline has passed.
 	if x.lastFailure != nil && !x.headWritten {
 		return ending{kind: endBuffered, answer: x.lastFailure}
 	}
@@ -95,7 +97,8 @@
 	return unknownOutcomeEnding(http.StatusBadGateway, apierror.CodeOutcomeUnknown, "the endpoint's answer was lost")
 }
 
-// notRunReason tells why no endpoint ran a request, and says so.
+// notRunReason returns the error code and message for a request that no endpoint ran. sent counts the
+// attempts that reached an endpoint.
 func notRunReason(sent int) (code, message string) {
 	if sent == 0 {
 		return apierror.CodeNoEndpoint, "no endpoint could be reached"
@@ -103,7 +106,7 @@
 	return apierror.CodeOverloaded, "the endpoints are full"
 }
 
-// forcedStopEnding is the ending of a request that a forced stop of this process cuts.
+// forcedStopEnding returns the ending of a request that is cut off by a forced stop of this process.
 func (x *exchange) forcedStopEnding() ending {
 	if x.hasNotRun() {
 		return notRunEnding(apierror.CodeStopping, "the gateway stops, and no endpoint has run the request")
@@ -111,7 +114,7 @@
 	return unknownOutcomeEnding(http.StatusBadGateway, apierror.CodeOutcomeUnknown, "the gateway stopped before the answer was whole")
 }
 
-// hasNotRun tells whether no attempt can have run.
+// hasNotRun reports whether no attempt can have run on an endpoint.
 func (x *exchange) hasNotRun() bool {
 	for _, t := range x.attempts {
 		if t.Outcome != rejected.String() && t.Outcome != notReached.String() {
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -30,50 +30,54 @@
 )
 
 const (
-	// configStaleAfter without a word from the store, an unknown key or route may be one
-	// that this process has not heard of yet: the caller is told to come back.
+	// configStaleAfter is the time without an answer from the store after which the
+	// configuration counts as possibly stale. An unknown key or route may then have been
+	// added since, so the refusal asks the caller to retry.
 	configStaleAfter = 4 * time.Second
-	// defaultTimeout is used where neither caller nor route names one.
+	// defaultTimeout limits a request whose route sets no timeout.
 	defaultTimeout = 30 * time.Second
 )
 
-// Gateway serves callers. Its fields are set before it serves.
+// Gateway is the HTTP handler that serves callers. Set its exported fields before it serves.
 type Gateway struct {
 	Domain    string
 	State     *discovery.State
 	Watcher   *discovery.Watcher
 	Directory *routing.Directory
 	Pool      *upstream.Pool
-	// Dial opens a connection to an endpoint whose runs have broken; nil finds out nothing.
+	// Dial opens the connection that checks whether an endpoint crashed after the connection of
+	// an attempt broke. If nil, crashes are not detected.
 	Dial upstream.DialFunc
-	// Guard keeps requests that crash endpoints from being run; nil lets all run.
+	// Guard refuses requests that crash endpoints. If nil, none is refused.
 	Guard       *quarantine.Guard
 	RetryBudget *runs.RetryBudget
 	Codec       Codec
-	// KeysValidFor is how long keys are believed after the configuration was last known to
-	// be the newest: one that has been taken away meanwhile must not be served for longer.
+	// KeysValidFor is how long API keys are accepted after the configuration was last known
+	// to be current. A key that was revoked in the meantime must not be accepted for longer.
 	// 0 sets no limit.
 	KeysValidFor time.Duration
-	// ContextTracker plans imports and saves of context; nil does neither.
+	// ContextTracker plans which prompt context is imported from and saved to stores. If nil,
+	// context is neither imported nor saved.
 	ContextTracker *contextcache.Tracker
-	// WeightQueries holds the engines that RunWeightQueries asks by AskWeights, see doubt; nil asks none.
+	// WeightQueries holds the IDs of the engines that RunWeightQueries asks for their weights
+	// with QueryWeights. If nil, none is asked.
 	WeightQueries *ring.Ring[string]
 	QueryWeights  QueryWeightsFunc
-	// Copier copies running requests between engines; nil leaves each where it began.
+	// Copier copies running requests between engines. If nil, none is moved.
 	Copier RunCopier
-	// IsLeader tells whether this process does what one process does for all.
+	// IsLeader reports whether this process holds the lease for the work that only one process does.
 	IsLeader func() bool
 	Log      *zap.Logger
 	Metrics  metrics.Registry
-	// RequestLogLimiter bounds the log's lines of requests, which grow with what callers send;
-	// all other lines come with changes of the surroundings. nil sets no bound.
+	// RequestLogLimiter limits the rate of the log lines for requests. Their number grows with
+	// the traffic, while all other lines are caused by changes in the environment. nil sets no limit.
 	RequestLogLimiter *rate.Limiter
 
-	// weights holds the newest version of each model that an endpoint serves.
+	// weights maps each model to the newest version of its weights that an endpoint serves.
 	weights atomic.Pointer[map[string]int64]
-	// promptSizes of each route's prompts.
+	// promptSizes holds the mean prompt size of each route.
 	promptSizes requestSizes
-	// engineHashes maps addresses to the hashes of the instances there.
+	// engineHashes maps the address of each engine to the hash of its instance ID.
 	engineHashes atomic.Pointer[map[string]uint64]
 	crashProbes  crashProbes
 	pendingRuns  pendingRuns
@@ -82,22 +86,23 @@
 	inFlight     atomic.Int64
 }
 
-// drainWindow is the end of a stop.
+// drainWindow is the last phase of a stop: requests that start after refuseAfter may be refused,
+// and the process exits at end.
 type drainWindow struct{ refuseAfter, end time.Time }
 
-// MarkNotReady makes the gateway say that it is not ready; requests are served on.
+// MarkNotReady makes the readiness probe fail. Requests are still served.
 func (g *Gateway) MarkNotReady() { g.notReady.Store(true) }
 
-// SetDrainWindow tells that the process ends at end. A request that begins after lateFrom is served only if
-// its own time ends before, and else refused: cut at the end, it may have run.
+// SetDrainWindow announces that the process exits at end. A request that starts after refuseAfter is
+// refused if its deadline is later than end: it could be cut off while an endpoint runs it.
 func (g *Gateway) SetDrainWindow(refuseAfter, end time.Time) {
 	g.drain.Store(&drainWindow{refuseAfter, end})
 }
 
-// InFlight counts the requests underway.
+// InFlight returns the number of requests in flight.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// ServeReady answers the balancer's probe.
+// ServeReady answers the load balancer's readiness probe.
 func (g *Gateway) ServeReady(w http.ResponseWriter, _ *http.Request) {
 	if g.notReady.Load() || !g.State.Ready() || g.hasStaleKeys() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -106,7 +111,7 @@
 	io.WriteString(w, "ready\n")
 }
 
-// exchange is one caller's request underway.
+// exchange is the state of one caller's request while it is in flight.
 type exchange struct {
 	g       *Gateway
 	w       http.ResponseWriter
@@ -123,29 +128,32 @@
 
 	// cachedFingerprint is the request's fingerprint, nil until it is needed.
 	cachedFingerprint *fingerprint.Key
-	// onTrial tells that the request is in quarantine and has this one run.
+	// onTrial is set if the request is in quarantine and was admitted for a trial run.
 	onTrial bool
-	// attempts are the attempts made, for the log.
+	// attempts are the records of the attempts made so far.
 	attempts []attemptRecord
-	// onStreamBegun tells that the present attempt's stream has onStreamBegun.
+	// onStreamBegun is called at the first event of the current attempt. It stops the checks
+	// that cancel an attempt only while its stream has not begun.
 	onStreamBegun func()
-	// firstEventAt of the present attempt came then.
+	// firstEventAt is when the first event of the current attempt arrived, zero before.
 	firstEventAt time.Time
-	// storedTokens of the last attempt's context that stores held, for the log.
+	// storedTokens counts the context tokens of the last attempt that stores held, for the log.
 	storedTokens int
-	// trace tells how far the present attempt got on its trace.
+	// trace records how far the current attempt got on its connection.
 	trace upstream.Trace
-	// staleEndpoint is the endpoint whose kept connection has ended under the request.
+	// staleEndpoint is the ID of the endpoint whose reused connection closed before the answer
+	// began. It is asked again only on a fresh connection.
 	staleEndpoint string
-	// lastFailure is the last failure that an endpoint itself gave and that may be passed on.
+	// lastFailure is the last failure that an endpoint answered and that may be forwarded.
 	lastFailure *bufferedAnswer
-	// stream is what the caller has of a stream.
+	// stream records which part of a stream the caller has received.
 	stream streamState
-	// relocation watches over the present attempt's run.
+	// relocation may move the run of the current attempt to another engine.
 	relocation *relocation
-	// bodyTimedOut tells that the body had not come when the request's time was up.
+	// bodyTimedOut is set if the body was incomplete at the request's deadline.
 	bodyTimedOut bool
-	// headWritten tells that the answer's head has been written, status is the one it bears.
+	// headWritten is set once an endpoint's status and header have been written to the caller;
+	// status is the one written, also by a refusal.
 	headWritten bool
 	status      int
 }
@@ -162,12 +170,13 @@
 	x.finish(x.serve())
 }
 
-// finish finishes an exchange: it writes a refusal that is due, logs and counts, and breaks the
-// connection unless the caller has a whole answer or a refusal.
+// finish writes the refusal if there is one, logs and counts the request, and breaks the
+// connection unless the caller has received a complete answer or a refusal.
 //
-// An exchange that ends without a whole answer must break the connection: when a handler returns,
-// net/http completes what was written, a begun stream with its finish and nothing at all with an
-// empty 200. A caller that closed only its sending side would take either for an endpoint's answer.
+// An exchange without a complete answer must break the connection: when a handler returns, net/http
+// completes the response. It terminates a partial stream as if it were whole, and if nothing was
+// written it sends an empty 200. A caller that has closed only its sending side would treat either
+// as an endpoint's answer.
 func (x *exchange) finish(e ending) {
 	outcome := "answered"
 	switch e.kind {
@@ -190,7 +199,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// count raises a counter; names are made of words fixed in the program only.
+// count increments a counter. Names must be made of constants only, never of data from requests.
 func (g *Gateway) count(name string) {
 	metrics.GetOrRegisterCounter("gateway."+name, g.Metrics).Inc(1)
 }
@@ -202,15 +211,15 @@
 	return x.route.Kind.String()
 }
 
-// isForceStopped tells whether a forced stop of this process has ended the request's context. Its
-// caller is still there then, and has a last answer to get unless one has begun. The first cause
-// of a context stands: a caller that had left before stays one that left.
+// isForceStopped reports whether a forced stop of this process canceled the request's context. The
+// caller is then still connected and gets a refusal unless an answer has begun. Only the first
+// cause of a cancellation is kept: a caller that left before the stop still counts as gone.
 func (x *exchange) isForceStopped() bool {
 	return errors.Is(context.Cause(x.r.Context()), runs.ErrStopping)
 }
 
-// hasCallerLeft tells whether the caller is gone. net/http ends the request's context also when a
-// read of the body times out; that caller is still there.
+// hasCallerLeft reports whether the caller has disconnected. net/http also cancels the request's
+// context when a read of the body times out; that caller is still connected.
 func (x *exchange) hasCallerLeft() bool {
 	return x.r.Context().Err() != nil && !x.isForceStopped() && !x.bodyTimedOut
 }
@@ -228,7 +237,8 @@
 	e.Write(x.w)
 }
 
-// prepare decides who calls what, and reads the request whole.
+// prepare checks and authorizes the request, sets its deadline and reads its body. It returns the
+// refusal, or nil if the request can be served.
 func (x *exchange) prepare() *apierror.Error {
 	x.table = x.g.State.Routes()
 	if x.table == nil {
@@ -256,10 +266,10 @@
 	return apierror.Later(http.StatusServiceUnavailable, apierror.CodeNotReady, message, notReadyRetryAfter)
 }
 
-// notReadyRetryAfter is about the time of a start's first list.
+// notReadyRetryAfter is about as long as a starting process takes to list the configuration.
 const notReadyRetryAfter = 500 * time.Millisecond
 
-// headerSize is the size of a request's header as it was sent.
+// headerSize returns the size in bytes of a request's header on the wire.
 func headerSize(r *http.Request) int64 {
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host) + len("  HTTP/1.1\r\nHost: \r\n")
 	for name, values := range r.Header {
@@ -270,7 +280,7 @@
 	return int64(size)
 }
 
-// authorize finds the route and the customer.
+// authorize finds the route, the customer and the service.
 func (x *exchange) authorize() *apierror.Error {
 	path, _, _ := strings.Cut(x.r.RequestURI, "?")
 	route, ok := x.table.Match(x.r.Host, path)
@@ -294,13 +304,15 @@
 	return nil
 }
 
-// hasStaleKeys tells whether a key that was taken away may still be known here.
+// hasStaleKeys reports whether the known keys may include one that was revoked more than
+// KeysValidFor ago.
 func (g *Gateway) hasStaleKeys() bool {
 	return g.KeysValidFor > 0 && g.Watcher.ConfigAge() > g.KeysValidFor
 }
 
-// refuseUnknown refuses what the configuration in force does not hold. When it may be
-// outdated, a refusal for good would be wrong for what was added since.
+// refuseUnknown refuses a request for something that the configuration does not contain. If the
+// configuration may be stale, the refusal asks the caller to retry instead, as it may have been
+// added since.
 func (x *exchange) refuseUnknown(status int, code, message string) *apierror.Error {
 	if age := x.g.Watcher.Age(time.Now()); age > configStaleAfter {
 		return refuseNotReady(message + ", but the configuration may be outdated")
@@ -321,8 +333,8 @@
 
 func (x *exchange) timeLeft() time.Duration { return time.Until(x.deadline) }
 
-// readBody reads the body whole: it may be sent a second time, and an endpoint
-// that answers early must not leave the rest of it on a connection.
+// readBody reads the whole body: it may be sent again in a retry, and an endpoint that answers
+// early must not leave the rest of it on a connection.
 func (x *exchange) readBody() *apierror.Error {
 	limit := x.table.Limits.BodyBytes
 	if limit > 0 && x.r.ContentLength > limit {
@@ -336,9 +348,9 @@
 	}
 	control := http.NewResponseController(x.w)
 	control.SetReadDeadline(x.deadline)
-	// The end of the request's context doesn't end a read of its body; a deadline in the past does.
-	// No path that leaves the body unread clears the deadline: before it answers, net/http reads the
-	// rest of the body, and would wait for it.
+	// Canceling the request's context doesn't interrupt a read of its body; a deadline in the past
+	// does. A path that leaves the body unread must not clear the deadline: net/http reads the rest
+	// of the body before it answers, and would wait for it.
 	defer context.AfterFunc(x.r.Context(), func() { control.SetReadDeadline(time.Unix(1, 0)) })()
 	err := x.readAll()
 	if x.isForceStopped() {
@@ -359,8 +371,8 @@
 	return nil
 }
 
-// maxPreallocated bounds the memory that a body takes by the length it announces; a longer one takes
-// it as it comes.
+// maxPreallocated is the largest body whose buffer is allocated by its Content-Length. The buffer
+// of a longer body grows with the bytes that arrive.
 const maxPreallocated = 1 << 20
 
 func (x *exchange) readAll() error {
@@ -374,19 +386,21 @@
 	return err
 }
 
-// isTooLate tells whether the process may end before the request does, which came when that was known.
+// isTooLate reports whether the request started in the drain window and its deadline is later than
+// the process's exit.
 func (x *exchange) isTooLate() bool {
 	d := x.g.drain.Load()
 	return d != nil && x.startedAt.After(d.refuseAfter) && x.deadline.After(d.end)
 }
 
-// serve carries out the request until its deadline or the caller's end.
+// serve runs the prepared request until it has an ending, its deadline passes or the caller leaves.
 func (x *exchange) serve() ending {
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.deadline)
 	defer cancel()
 	x.g.RetryBudget.Earn()
 	if x.isForceStopped() {
-		// Nothing may be sent any more: a connection to an endpoint closes too late to prevent it.
+		// Don't send anything now: closing the endpoint's connection would come too late to keep the
+		// request from running.
 		return x.forcedStopEnding()
 	}
 	if x.isTooLate() {
--- a/internal/coordination/gateway/requestlog.go
+++ b/internal/coordination/gateway/requestlog.go
@@ -10,7 +10,8 @@
 	"limpetwall/internal/transport/ingress"
 )
 
-// attemptRecord is what became of one attempt, and what was believed when it was made.
+// attemptRecord describes one attempt in the log: its outcome, and what was known of the endpoint when
+// it was chosen.
 type attemptRecord struct {
 	Endpoint string `json:"endpoint"`
 	Reason   string `json:"reason"`
@@ -18,31 +19,33 @@
 	Error    string `json:"error,omitempty"`
 	Status   int    `json:"status,omitempty"`
 	Weights  string `json:"weights,omitempty"`
-	// Reused tells that the connection had carried another request, Answered that any bytes came back on it.
+	// Reused is set if the connection had carried another request, Answered if any byte of an
+	// answer came back on it.
 	Reused   bool `json:"connection_reused"`
 	Answered bool `json:"answer_begun"`
-	// TookMS is the attempt's length, FirstMS the time to its first event.
+	// TookMS is the duration of the attempt, FirstMS the time to its first event.
 	TookMS  int64 `json:"took_ms"`
 	FirstMS int64 `json:"first_ms,omitempty"`
-	// ExpectedMS to the first event and CachedTokens as decided.
+	// ExpectedMS is the predicted time to the first event, CachedTokens the predicted cache hits.
 	ExpectedMS   int64 `json:"expected_ms"`
 	CachedTokens int   `json:"cached_tokens,omitempty"`
-	// Imported lists where context was to come from, Saved where to.
+	// Imported lists the addresses to import context from, Saved those to save it to.
 	Imported string `json:"imported,omitempty"`
 	Saved    string `json:"saved,omitempty"`
-	// The endpoint's load as it said, LoadAgeMS before, and as counted here.
+	// Running and Queued are the load that the endpoint reported LoadAgeMS earlier; Sent and Own
+	// are the counts of this process.
 	Running   int   `json:"running"`
 	Queued    int   `json:"queued"`
 	Sent      int   `json:"sent"`
 	Own       int   `json:"own"`
 	LoadAgeMS int64 `json:"load_age_ms"`
-	// What other processes said that they had underway there.
+	// PeerRunning and PeerUnread are the requests that other processes reported in flight there.
 	PeerRunning int `json:"peer_running"`
 	PeerUnread  int `json:"peer_unread"`
 }
 
-// receiptFor tells what the caller has. The decision alone doesn't: a refusal that comes after
-// a head was written is decided and counted like any other, but its status reaches nobody.
+// receiptFor returns what the caller has received. The ending alone doesn't say: a refusal after a head
+// was written is decided and counted like any other, but its status never reaches the caller.
 func (x *exchange) receiptFor(e ending) receipt.Receipt {
 	switch {
 	case e.kind == endAnswered || e.kind == endBuffered:
@@ -55,7 +58,7 @@
 	return receipt.Nothing
 }
 
-// logRequest writes the exchange's one line.
+// logRequest writes the log line of the request, at most one for each.
 func (x *exchange) logRequest(refusal *apierror.Error, got receipt.Receipt) {
 	if x.g.RequestLogLimiter != nil && !x.g.RequestLogLimiter.Allow() {
 		x.g.count("request_lines_dropped")
--- a/internal/coordination/gateway/run.go
+++ b/internal/coordination/gateway/run.go
@@ -18,15 +18,16 @@
 )
 
 const (
-	// maxUnreached endpoints are tried in vain for one request: each costs the time
-	// that a connection may take to open.
+	// maxUnreached bounds the unreachable endpoints that are tried for one request. Each
+	// costs up to the timeout for opening a connection.
 	maxUnreached = 3
-	// minTimeLeft of a request's time is worth another attempt.
+	// minTimeLeft is the least time before the deadline in which another attempt is worthwhile.
 	minTimeLeft = 20 * time.Millisecond
-	// defaultPrefillRate is a model server's reading speed before any was measured,
-	// in tokens per second.
+	// defaultPrefillRate is the assumed prefill rate of a model server before one has been
+	// measured, in tokens per second.
 	defaultPrefillRate = 40_000
-	// defaultLinkRate is a store's, in tokens per second: the slower of today's stores.
+	// defaultLinkRate is the assumed transfer rate of a store's link, in tokens per second:
+	// that of the slower of the present stores.
 	defaultLinkRate = 190_000
 )
 
@@ -40,8 +41,8 @@
 	return fields
 }
 
-// run makes attempts until one answers the caller or no more is tried, and delivers an answer
-// that was kept.
+// run makes attempts until one answers the caller or none is left, and then writes the buffered
+// answer if the ending is one.
 func (x *exchange) run(ctx context.Context) ending {
 	end := x.runAttempts(ctx)
 	if end.kind == endBuffered {
@@ -50,7 +51,8 @@
 	return end
 }
 
-// runAttempts asks one endpoint after the other until one answers the caller or no more is tried.
+// runAttempts tries one endpoint after another until one answers the caller or no further attempt
+// is allowed or possible.
 func (x *exchange) runAttempts(ctx context.Context) ending {
 	request := x.routingRequest()
 	prompt := x.promptContext()
@@ -83,7 +85,7 @@
 			last = x.plainAttempt(ctx, choice, attempt)
 		}
 		if last.kind == callerLeft && x.isForceStopped() {
-			// A forced stop, too, ends the context and makes writes fail; its caller has not left.
+			// A forced stop also cancels the context and makes writes fail, but the caller is still there.
 			last.kind = stopped
 		}
 		x.recordAttempt(choice, attempt, last, started)
@@ -115,8 +117,8 @@
 	}
 }
 
-// chooseEndpoint picks the next attempt's endpoint: the one that a moved run goes on at, or the best; an
-// empty choice if there is none.
+// chooseEndpoint chooses the endpoint of the next attempt: the one where a moved run continues, or
+// else the best. The choice is empty if there is none.
 func (x *exchange) chooseEndpoint(request *routing.Request, prompt promptContext, last outcome) routing.Choice {
 	if last.next != nil {
 		return last.next.choice
@@ -126,18 +128,19 @@
 	if choice.Member.ID != "" || x.staleEndpoint == "" {
 		return choice
 	}
-	// No other is left, and this one may serve the request on a fresh connection.
+	// No other endpoint is left, and this one may serve the request on a fresh connection.
 	request.Exclude = slices.DeleteFunc(request.Exclude, func(id string) bool { return id == x.staleEndpoint })
 	return x.g.Directory.Choose(x.service.Name, prompt.keys, request)
 }
 
-// continueFrom makes a send go on with a copied run, whose memory holds all context.
+// continueFrom makes an attempt continue a copied run. Its memory already holds the whole context,
+// so nothing is imported or exported.
 func (a *Attempt) continueFrom(copied string) {
 	a.ContinueFrom, a.ImportFrom, a.ExportTo, a.ImportUntil = copied, nil, nil, 0
 }
 
-// refuseOverload refuses a prompt that would be answered too late to be of use, before it
-// takes anything of an engine.
+// refuseOverload refuses a prompt whose answer would begin too late to be useful, before the prompt
+// uses any capacity of an engine.
 func (x *exchange) refuseOverload(c routing.Choice, sent int) *apierror.Error {
 	if x.service.Engine == nil || sent > 0 {
 		return nil
@@ -153,11 +156,11 @@
 	return apierror.Later(http.StatusServiceUnavailable, apierror.CodeOverloaded, message, delay)
 }
 
-// needsRetryBudget tells whether another attempt draws on the retry budget. What reached no endpoint
-// costs none of them anything, and a run that was moved goes on.
+// needsRetryBudget reports whether the attempt after this outcome spends retry budget. An attempt
+// that reached no endpoint has cost none of them anything, and a moved run only continues.
 //
-// It is asked when an endpoint has been chosen: a service whose last endpoint fails would
-// otherwise use up the budget of all services without a single retry.
+// It is called only once an endpoint has been chosen. Otherwise a service whose last endpoint fails
+// would use up the budget of all services without a single retry.
 func (o outcome) needsRetryBudget() bool {
 	switch o.kind {
 	case rejected, answeredFailure, broken:
@@ -166,15 +169,15 @@
 	return false
 }
 
-// canRetry decides whether another endpoint is asked.
+// canRetry reports whether another endpoint may be tried.
 func (x *exchange) canRetry(ctx context.Context, last outcome, sent, unreached int) bool {
 	if ctx.Err() != nil || x.timeLeft() < minTimeLeft {
 		return false
 	}
 	resumable := x.canResume()
 	if x.headWritten && !resumable {
-		// The caller has a part already: another answer would be joined to it. A run that
-		// was moved and is rejected where it should go on has run as well.
+		// The caller has received part of an answer, and another answer would be appended to it.
+		// This also applies to a moved run that is rejected at its destination: it has run.
 		return false
 	}
 	switch last.kind {
@@ -191,14 +194,14 @@
 	return sent < x.route.MaxAttempts
 }
 
-// canResume tells whether another endpoint may go on where the last one broke off. What the
-// caller has must end with an event that bears an id, as the other would otherwise repeat what
-// came behind it, and the caller would read both as one answer.
+// canResume reports whether another endpoint may continue the stream where the last one broke off.
+// The last event that the caller received must have an id. Otherwise the next endpoint would repeat
+// the events after the last id, and the caller would read both as one answer.
 func (x *exchange) canResume() bool {
 	return x.route.Kind == routes.Streaming && x.route.Resumable && !x.stream.unresumable
 }
 
-// recordAttempt tells the directory how an attempt ended, and keeps it for the log.
+// recordAttempt records how an attempt ended, for the log, the metrics and the directory.
 func (x *exchange) recordAttempt(c routing.Choice, attempt Attempt, o outcome, started time.Time) {
 	now := time.Now()
 	record := attemptRecord{
@@ -229,8 +232,9 @@
 	x.g.reportOutcome(c, o, now)
 }
 
-// reportOutcome tells the directory how an endpoint did. Attempts that this process or the caller ended say nothing of it: an
-// endpoint that hangs would stay in use if its callers' leaving counted as success.
+// reportOutcome reports the outcome of an attempt to the directory. Attempts that this process or the
+// caller ended count neither as success nor as failure: an endpoint that hangs would stay in use if
+// each caller that gives up on it counted as a success.
 func (g *Gateway) reportOutcome(c routing.Choice, o outcome, now time.Time) {
 	if o.stopOrdered {
 		g.Directory.Release(c)
@@ -250,7 +254,7 @@
 	}
 }
 
-// routingRequest is the decision's input that all attempts share.
+// routingRequest returns the input of the routing decision that is the same for all attempts.
 func (x *exchange) routingRequest() *routing.Request {
 	held, mean := x.call.PromptTokens+x.call.OutputTokens, 0
 	if held > 0 {
@@ -265,29 +269,29 @@
 	}
 }
 
-// recomputeWeight weighs a thousand tokens read again against a second of waiting:
-// the engine's time for them is 20 ms, and all that wait behind them feel it.
+// recomputeWeight is the cost of computing a thousand tokens again, relative to a second of
+// waiting. It takes the engine 20 ms, and all requests queued behind are delayed by it.
 const recomputeWeight = 0.2
 
-// crossDomainPenalty keeps requests in their failure domain unless waiting is shorter
-// elsewhere by so many seconds: bytes between domains are dear, and a link more may
-// fail. At 0.02 a tenth less crosses than without (31 to 28 MB in 50 s at 70 requests
-// a second, three domains) and no more requests are late; at 0.04 more are where
-// engines are full.
+// crossDomainPenalty keeps requests in their failure domain unless the wait elsewhere is shorter
+// by this many seconds. Traffic between domains is expensive, and it depends on one more link that
+// may fail. At 0.02 a tenth less traffic crosses domains than without a penalty (28 instead of 31 MB
+// in 50 s at 70 requests a second in three domains), and no more requests are late. At 0.04 more
+// requests are late where engines are full.
 const crossDomainPenalty = 0.02
 
-// linkWeight weighs a thousand tokens imported in the same way: the link's time for
-// them is 5 ms.
+// linkWeight is the cost of importing a thousand tokens, relative to a second of waiting. It takes
+// the link 5 ms.
 const linkWeight = 0.02
 
-// loadOf translates an endpoint's own counts.
+// loadOf converts the load that an endpoint reports, as of now.
 func loadOf(l Load) fleet.Load {
 	return fleet.Load{
 		Running: l.Running, Queued: l.Waiting, AtMS: time.Now().UnixMilli(),
 	}
 }
 
-// newAttempt says what an attempt at a chosen endpoint carries.
+// newAttempt returns the attempt to send to a chosen endpoint.
 func (x *exchange) newAttempt(c routing.Choice, p promptContext) Attempt {
 	a := Attempt{Instance: c.Member.ID, TimeLeft: x.timeLeft(), Urgency: x.urgency(), LastEvent: x.call.LastEvent}
 	if x.customer != nil {
@@ -299,7 +303,7 @@
 	return a
 }
 
-// priority is the customer's own, or else the route's; 0 is the highest.
+// priority returns the customer's priority if it has one, or else the route's; 0 is the highest.
 func (x *exchange) priority() int {
 	if x.customer != nil && x.customer.HasPriority {
 		return x.customer.Priority
@@ -307,5 +311,5 @@
 	return x.route.Priority
 }
 
-// urgency maps priorities to the endpoints' scale.
+// urgency returns the priority on the endpoints' scale of 0 to 9.
 func (x *exchange) urgency() int { return max(0, min(9, x.priority())) }
--- a/internal/coordination/gateway/stream.go
+++ b/internal/coordination/gateway/stream.go
@@ -22,20 +22,19 @@
 	// lastID is the id of the lastID event passed on, number its value.
 	lastID     string
 	lastNumber int64
-	// unresumable tells that the caller has bytes behind the last event with an id, or of an
-	// answer that is no stream: nothing can be joined to them.
+	// unresumable is set if the caller has received data after the last event with an id, or part
+	// of an answer that is not a stream. Nothing can be appended to either.
 	unresumable bool
 }
 
-// errTruncatedEvent marks a stream that ended inside an event.
+// errTruncatedEvent is returned when a stream ends inside an event.
 const errTruncatedEvent = errors.ConstError("stream ended inside an event")
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes bounds the size of one event of a stream.
 const maxEventBytes = 1 << 20
 
-// streamAttempt runs a request whose answer is a stream, and passes its events on
-// as they come, each whole and once. After a broken attempt the next goes on
-// behind the last event passed on.
+// streamAttempt makes an attempt whose answer is a stream. Each event is forwarded as soon as it is
+// complete, and only once. An attempt after a broken one resumes after the last event forwarded.
 func (x *exchange) streamAttempt(ctx context.Context, c routing.Choice, a Attempt) outcome {
 	x.firstEventAt = time.Time{}
 	if x.stream.lastID != "" {
@@ -71,19 +70,21 @@
 	return outcome{kind: relocated, next: next}
 }
 
-// isJSON tells a whole answer from a stream. Other types don't tell: a server that names none has one guessed.
+// isJSON reports whether the content type is JSON, so that the answer is a document and not a stream.
+// Other types are no evidence: if a server names none, its HTTP library guesses one.
 func isJSON(h http.Header) bool {
 	mediaType, _, _ := mime.ParseMediaType(h.Get("Content-Type"))
 	return mediaType == "application/json"
 }
 
-// errWeightsReplaced ends an attempt that has not begun when its endpoint's weights
-// may not be used any more.
+// errWeightsReplaced is the cause when an attempt that has not begun is canceled because its
+// endpoint's weights may no longer be used.
 const errWeightsReplaced = errors.ConstError("the endpoint's weights were replaced before it began")
 
-// withBeginDeadline ends an attempt that has not begun when its request turns out to crash endpoints, and one at replaced
-// weights that does not begin before their time is up. Endpoints that load others are the fullest: a request may wait in one
-// for seconds longer than was foreseen, and its answer would be worth nothing.
+// withBeginDeadline returns a context that is canceled while the stream has not begun, if the request is
+// found to crash endpoints or if the endpoint's replaced weights may no longer be used. Endpoints that
+// are about to load other weights are the fullest: a request may wait there for seconds longer than
+// predicted, and its answer would be useless. The returned function releases the context.
 func (x *exchange) withBeginDeadline(ctx context.Context, c routing.Choice) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	unwatch := x.cancelWhenBlamed(cancel)
@@ -101,7 +102,7 @@
 	}
 }
 
-// relayEvents passes events on until the stream ends.
+// relayEvents forwards events until the stream ends.
 func (x *exchange) relayEvents(ctx context.Context, c routing.Choice, resp *upstream.Response) outcome {
 	reader := bufio.NewReader(resp)
 	controller := http.NewResponseController(x.w)
@@ -135,8 +136,8 @@
 	}
 }
 
-// writeStreamHead passes the head on with the first event: until then another
-// endpoint may still be asked as if nothing had happened.
+// writeStreamHead writes the status and header to the caller unless that is done already. It is called
+// with the first event: until then, another endpoint may still be tried from scratch.
 func (x *exchange) writeStreamHead(resp *upstream.Response) {
 	if x.headWritten {
 		return
@@ -149,7 +150,7 @@
 	return outcome{kind: delivered}
 }
 
-// advance tells whether an event is new to the caller, and counts it as passed on.
+// advance reports whether the caller has not received an event yet, and if so records it as forwarded.
 func (st *streamState) advance(event []byte) bool {
 	id, ok := eventID(event)
 	if !ok {
@@ -167,7 +168,7 @@
 	return true
 }
 
-// isComment tells whether an event carries nothing: such lines only keep a connection busy.
+// isComment reports whether an event consists of comment lines only, which keep a connection alive.
 func isComment(event []byte) bool {
 	for line := range bytes.Lines(event) {
 		if line = bytes.TrimRight(line, "\r\n"); len(line) > 0 && line[0] != ':' {
@@ -177,7 +178,7 @@
 	return true
 }
 
-// eventID finds an event's id field.
+// eventID returns the value of an event's id field and whether there is one.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.Lines(event) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -187,8 +188,8 @@
 	return "", false
 }
 
-// readEvent reads one whole event with the blank line that ends it; io.EOF comes
-// only between events.
+// readEvent reads one event up to and including the blank line that ends it. It returns io.EOF only if
+// the stream ends between events.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for len(event) <= maxEventBytes {
@@ -209,8 +210,8 @@
 	return nil, errors.New("event is too large")
 }
 
-// isWholeLine tells whether line, the end of event, is a line of its own and not the
-// tail of one that did not fit the buffer.
+// isWholeLine reports whether line, the end of event, is a complete line and not the rest of one that
+// did not fit into the buffer.
 func isWholeLine(event, line []byte) bool {
 	before := event[:len(event)-len(line)]
 	return len(before) == 0 || before[len(before)-1] == '\n'
