--- a/internal/coordination/gateway/ending.go
+++ b/internal/coordination/gateway/ending.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// retryAfterMin and fullJitter tell callers when a full service has room again: about
-	// one short run, spread so that they don't all return together.
+	// retryAfterMin and retryAfterJitter set the Retry-After when a service is full: about
+	// the time of one short run, with jitter so that callers don't all return together.
 	retryAfterMin    = 200 * time.Millisecond
 	retryAfterJitter = 400 * time.Millisecond
 )
@@ -39,9 +39,9 @@
 // in the write buffer.
 type ending struct {
 	kind endingKind
-	// answer of endKept.
+	// answer is set for endBuffered only.
 	answer *bufferedAnswer
-	// refusal of endRefused, nil else.
+	// refusal is set for endRefused only.
 	refusal *apierror.Error
 }
 
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -27,7 +27,7 @@
 	"limpetwall/internal/transport/upstream"
 )
 
-// Headers of the tests' own codec.
+// Headers that testCodec uses.
 const (
 	headerID        = "T-Id"
 	headerKey       = "T-Key"
@@ -37,7 +37,7 @@
 	headerCustomer  = "T-Customer"
 	headerTimeLeft  = "T-Left"
 	headerWeights   = "T-Weights"
-	// headerSegment names the one shared part of a prompt.
+	// headerSegment names the single shared segment of a prompt.
 	headerSegment      = "T-Part"
 	headerContinueFrom = "T-Continue"
 )
@@ -80,14 +80,14 @@
 
 func (testCodec) EncodeID(h http.Header, id string) { h.Set(headerID, id) }
 
-// fakeEndpoint writes its answers itself, byte by byte. Its script is asked at
-// each request; what it returns is written as it is, and the connection closed.
+// fakeEndpoint is an endpoint on a local port. Its responder writes the raw bytes of the answer to each
+// request, after which the connection is closed.
 type fakeEndpoint struct {
 	id       string
 	address  string
 	listener net.Listener
 	mu       sync.Mutex
-	// requests are those that arrived.
+	// requests are the requests received, bodies their bodies.
 	requests []*http.Request
 	bodies   []string
 }
@@ -98,7 +98,7 @@
 	return len(e.requests)
 }
 
-// testServer is a gateway before fake endpoints.
+// testServer serves a gateway in front of fake endpoints.
 type testServer struct {
 	t         *testing.T
 	gateway   *Gateway
@@ -106,7 +106,7 @@
 	endpoints []*fakeEndpoint
 }
 
-// responder is how an endpoint answers a request.
+// responder writes an endpoint's answer to a request.
 type responder func(c net.Conn, r *http.Request)
 
 func newTestServer(t *testing.T, list []routes.Route, answers ...responder) *testServer {
@@ -168,8 +168,9 @@
 	answer(c, r)
 }
 
-// respond answers with a status, header lines and a body of declared length. It announces that the endpoint closes: a gateway that
-// sent its next request into the close could only respond "unknown".
+// respond answers with a status, header lines and a body with its Content-Length. It sends "Connection:
+// close", because the endpoint closes the connection: for a request sent on a connection while it closes,
+// the gateway could only answer that the outcome is unknown.
 func respond(status int, body string, lines ...string) responder {
 	return func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 %d X\r\n%s: %s\r\nStamp: %d\r\nConnection: close\r\nContent-Length: %d\r\n", status, headerID, r.Header.Get(headerID), status, len(body))
@@ -185,7 +186,7 @@
 	closeConn = func(net.Conn, *http.Request) {}
 )
 
-// respondStream answers with events; rest is written after them as it is.
+// respondStream answers with events, followed by the bytes of rest.
 func respondStream(rest string, events ...string) responder {
 	return func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nStamp: 200\r\nConnection: close\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", headerID, r.Header.Get(headerID))
@@ -199,8 +200,8 @@
 
 const lastChunk = "0\r\n\r\n"
 
-// firstThen plays first to the request that comes first, whichever endpoint it reaches, and then
-// second to all others.
+// firstThen answers the first request with first, whichever endpoint it reaches, and all later requests
+// with second.
 func firstThen(first, second responder) responder {
 	var begun atomic.Bool
 	return func(c net.Conn, r *http.Request) {
@@ -234,7 +235,7 @@
 	return req
 }
 
-// do sends a request and reads the whole answer.
+// do sends a request and reads the whole answer. It returns the body read so far also with an error.
 func (s *testServer) do(req *http.Request) (*http.Response, string, error) {
 	resp, err := s.server.Client().Do(req)
 	if err != nil {
@@ -253,21 +254,22 @@
 	return n
 }
 
-// TestRequestIsForwardedUnchanged sends a body through and looks at what arrives.
+// TestRequestIsForwardedUnchanged compares the request and the answer on both sides of the gateway. Only
+// hop-by-hop headers and the headers of the codec may differ.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), respond(201, "whole", "X-Own: yes"))
 	req := s.newRequest("PUT", "/r/a%2Fb//c?x=%20&x=2", strings.Repeat("b", 100_000), "X-Mine: kept", "Connection: X-Hop", "X-Hop: gone")
 	resp, body, err := s.do(req)
 	if err != nil || resp.StatusCode != 201 || body != "whole" || resp.Header.Get("Stamp") != "201" || resp.Header.Get("X-Own") != "yes" {
-		t.Fatalf("%v %q %v", resp, body, err)
+		t.Fatalf("got %v, body %q, error %v; want status 201 with the endpoint's header and body", resp, body, err)
 	}
 	if resp.Header.Get("Content-Type") != "" {
-		t.Errorf("a content type was made up: %s", resp.Header.Get("Content-Type"))
+		t.Errorf("got Content-Type %s, want none: the endpoint sent none", resp.Header.Get("Content-Type"))
 	}
 	e := s.endpoints[0]
 	got := e.requests[0]
 	if got.Method != "PUT" || got.RequestURI != "/r/a%2Fb//c?x=%20&x=2" || got.Host != "h" || len(e.bodies[0]) != 100_000 {
-		t.Errorf("%s %s %s, %d bytes", got.Method, got.RequestURI, got.Host, len(e.bodies[0]))
+		t.Errorf("the endpoint got %s %s for host %s with %d bytes", got.Method, got.RequestURI, got.Host, len(e.bodies[0]))
 	}
 	if got.Header.Get("X-Mine") != "kept" || got.Header.Get("X-Hop") != "" || got.Header.Get(headerKey) != "" {
 		t.Errorf("%v", got.Header)
@@ -277,10 +279,10 @@
 	}
 }
 
-// TestOutcomes plays each way an endpoint may end a request, for each kind.
+// TestOutcomes covers each way in which endpoints may end a request, for idempotent and other requests.
 //
-// "Not run" (503) is said only when every endpoint that was sent the request says
-// so; a request that may not be repeated reaches one endpoint unless the first
+// A 503, which promises that the request did not run, is returned only if every endpoint that was sent the
+// request said so. A request that may not be repeated is sent to a second endpoint only if the first
 // rejected it.
 func TestOutcomes(t *testing.T) {
 	const safe, unsafe = routes.Idempotent, routes.NonIdempotent
@@ -324,29 +326,27 @@
 			s := newTestServer(t, singleRoute(row.kind, row.attempts), play, play)
 			resp, body, err := s.do(s.newRequest("POST", "/r/x", "order"))
 			if err != nil || resp.StatusCode != row.status {
-				t.Fatalf("%v %v", resp, err)
+				t.Fatalf("got %v, error %v; want the row's status", resp, err)
 			}
 			if row.body != "" && (body != row.body || resp.Header.Get("Stamp") != fmt.Sprint(row.status)) {
-				t.Errorf("%q, stamp %q", body, resp.Header.Get("Stamp"))
+				t.Errorf("got body %q, stamp %q; want those of the endpoint's answer", body, resp.Header.Get("Stamp"))
 			}
 			if row.body == "" && resp.Header.Get("Stamp") != "" {
-				t.Errorf("an answer of the gateway's own bears a stamp")
+				t.Errorf("an endpoint's stamp is on an answer of the gateway itself")
 			}
 			if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
-				t.Error("a refusal without a time to come back")
+				t.Error("a 503 without Retry-After")
 			}
 			if s.requestCount() != row.requests {
-				t.Errorf("%d endpoints were sent the request, want %d", s.requestCount(), row.requests)
+				t.Errorf("the request was sent %d times, want %d", s.requestCount(), row.requests)
 			}
 		})
 	}
 }
 
-// TestTruncatedLongAnswerIsNotRetried cuts an answer too long to be kept whole, after a part of it
-// is with the caller.
-//
-// Though the request may be repeated, nothing else is asked: a second answer would
-// be joined to the first.
+// TestTruncatedLongAnswerIsNotRetried truncates an answer that is too long to be buffered, after part
+// of it has been forwarded. Although the request is idempotent it must not be retried: the second answer
+// would be appended to the first.
 func TestTruncatedLongAnswerIsNotRetried(t *testing.T) {
 	long := strings.Repeat("a", 2*maxBufferedBytes)
 	torn := func(c net.Conn, r *http.Request) {
@@ -355,11 +355,12 @@
 	s := newTestServer(t, singleRoute(routes.Idempotent, 2), torn, torn)
 	_, body, err := s.do(s.newRequest("GET", "/r/x", ""))
 	if err == nil || len(body) > len(long) || s.requestCount() != 1 {
-		t.Errorf("%d bytes, %v, sent to %d", len(body), err, s.requestCount())
+		t.Errorf("got %d bytes, error %v, %d requests; want an error, no more bytes than were sent and 1 request", len(body), err, s.requestCount())
 	}
 }
 
-// TestUnreachableEndpoint stops the endpoint's listener before the request comes.
+// TestUnreachableEndpoint closes the endpoint's listener before the request arrives: the refusal must
+// say that the request did not run.
 func TestUnreachableEndpoint(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 2))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -370,7 +371,7 @@
 	s.gateway.State.SetInstance(discovery.Instance{ID: "i-9", Revision: 9, Service: "s", Address: l.Addr().String()})
 	resp, _, err := s.do(s.newRequest("POST", "/r/x", "order"))
 	if err != nil || resp.StatusCode != 503 || resp.Header.Get("X-Limpetwall-Ran") != "no" {
-		t.Errorf("%v %v", resp, err)
+		t.Errorf("got %v, error %v; want status 503 and X-Limpetwall-Ran: no", resp, err)
 	}
 }
 
@@ -382,7 +383,7 @@
 		second    responder
 		body      string
 		broken    bool
-		// last is what the second endpoint was told the caller already has.
+		// last is the last event ID that the second endpoint must get.
 		last string
 	}{
 		{"whole", false, respondStream(lastChunk, "1", "2"), nil, "1 2", false, ""},
@@ -405,7 +406,7 @@
 				if n > 1 {
 					part = row.second
 					if got := r.Header.Get(headerLastEvent); got != row.last {
-						t.Errorf("the second goes on behind %q, want %q", got, row.last)
+						t.Errorf("the second attempt resumes after event %q, want %q", got, row.last)
 					}
 				}
 				mu.Unlock()
@@ -418,19 +419,19 @@
 			s := newTestServer(t, list, play, play)
 			resp, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 			if resp == nil || resp.StatusCode != 200 || resp.Header.Get("Stamp") != "200" {
-				t.Fatalf("%v %v", resp, err)
+				t.Fatalf("got %v, error %v; want the endpoint's status 200", resp, err)
 			}
 			if (err != nil) != row.broken {
-				t.Errorf("the stream ended with %v", err)
+				t.Errorf("the stream ended with error %v; want one only if it is to break", err)
 			}
 			if got := eventIDs(body); got != row.body {
-				t.Errorf("events %q, want %q", got, row.body)
+				t.Errorf("got events %q, want %q", got, row.body)
 			}
 		})
 	}
 }
 
-// eventIDs lists the ids of a stream.
+// eventIDs returns the ids of a stream's events, separated by spaces.
 func eventIDs(body string) string {
 	var ids []string
 	for line := range strings.Lines(body) {
@@ -441,7 +442,7 @@
 	return strings.Join(ids, " ")
 }
 
-// TestEventsAreFlushedImmediately reads the first event while the endpoint still works.
+// TestEventsAreFlushedImmediately reads the first event while the endpoint still holds back the second.
 func TestEventsAreFlushedImmediately(t *testing.T) {
 	more := make(chan struct{})
 	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
@@ -457,17 +458,16 @@
 	defer resp.Body.Close()
 	reader := bufio.NewReader(resp.Body)
 	if line, err := reader.ReadString('\n'); err != nil || line != "id: 1\n" {
-		t.Fatalf("%q %v", line, err)
+		t.Fatalf("got first line %q, error %v", line, err)
 	}
 	close(more)
 	if rest, err := io.ReadAll(reader); err != nil || eventIDs(string(rest)) != "2" {
-		t.Errorf("%q %v", rest, err)
+		t.Errorf("got rest %q, error %v; want event 2", rest, err)
 	}
 }
 
-// TestCallerDisconnectClosesEndpointConnection hangs up while the endpoint works.
-//
-// The endpoint's connection closes, which tells it to stop; nothing else is asked.
+// TestCallerDisconnectClosesEndpointConnection disconnects the caller while the endpoint runs the request:
+// the endpoint's connection must close, so that it stops, and no other endpoint may be asked.
 func TestCallerDisconnectClosesEndpointConnection(t *testing.T) {
 	working, stopped := make(chan struct{}), make(chan struct{})
 	s := newTestServer(t, singleRoute(routes.Idempotent, 2), func(c net.Conn, _ *http.Request) {
@@ -510,34 +510,33 @@
 			s.gateway.Watcher.Heard(now)
 			resp, _, err := s.do(s.newRequest("POST", row.path, row.body, row.lines...))
 			if err != nil || resp.StatusCode != row.status || s.requestCount() != row.sent {
-				t.Errorf("%v %v, sent to %d", resp, err, s.requestCount())
+				t.Errorf("got %v, error %v, %d requests; want the row's status and number of requests", resp, err, s.requestCount())
 			}
 		})
 	}
 }
 
-// TestRouteTimeout lets an endpoint work longer than the route allows.
-//
-// The caller is told at that moment, and nothing is promised; the endpoint gets no
-// more time than the caller has.
+// TestRouteTimeout has an endpoint that doesn't answer within the route's timeout. The caller must get a
+// 504 then, without a promise that the request did not run, and the endpoint must not be given more time
+// than the request has.
 func TestRouteTimeout(t *testing.T) {
 	list := singleRoute(routes.NonIdempotent, 2)
 	list[0].Timeout = 50 * time.Millisecond
 	s := newTestServer(t, list, func(c net.Conn, _ *http.Request) { io.Copy(io.Discard, c) })
 	resp, _, err := s.do(s.newRequest("POST", "/r/x", "", headerTimeLeft+": 4000"))
 	if err != nil || resp.StatusCode != 504 || s.requestCount() != 1 {
-		t.Fatalf("%v %v", resp, err)
+		t.Fatalf("got %v, error %v; want status 504 after 1 request", resp, err)
 	}
 	if left, err := strconv.Atoi(s.endpoints[0].requests[0].Header.Get(headerTimeLeft)); err != nil || left > 50 {
-		t.Errorf("the endpoint was given %d ms: %v", left, err)
+		t.Errorf("the endpoint was given %d ms (error %v), want at most 50", left, err)
 	}
 }
 
-// TestRetryBudget lets every endpoint fail with the budget used up.
+// TestRetryBudget has every endpoint fail while the retry budget is empty: no retry may be made.
 func TestRetryBudget(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 2), respond(500, "sorry"), respond(500, "sorry"))
 	s.gateway.RetryBudget = runs.NewRetryBudget(0, 0)
 	if resp, _, err := s.do(s.newRequest("GET", "/r/x", "")); err != nil || resp.StatusCode != 500 || s.requestCount() != 1 {
-		t.Errorf("%v %v, sent to %d", resp, err, s.requestCount())
+		t.Errorf("got %v, error %v, %d requests; want status 500, 1 request", resp, err, s.requestCount())
 	}
 }
--- a/internal/coordination/gateway/requestlog.go
+++ b/internal/coordination/gateway/requestlog.go
@@ -32,14 +32,15 @@
 	// Imported lists the addresses to import context from, Saved those to save it to.
 	Imported string `json:"imported,omitempty"`
 	Saved    string `json:"saved,omitempty"`
-	// Running and Queued are the load that the endpoint reported LoadAgeMS earlier; Sent and Own
-	// are the counts of this process.
+	// Running and Queued are the load that the endpoint reported LoadAgeMS earlier. Sent counts the
+	// requests sent by this process since that report, Own its requests in flight there.
 	Running   int   `json:"running"`
 	Queued    int   `json:"queued"`
 	Sent      int   `json:"sent"`
 	Own       int   `json:"own"`
 	LoadAgeMS int64 `json:"load_age_ms"`
-	// PeerRunning and PeerUnread are the requests that other processes reported in flight there.
+	// PeerRunning counts the runs that other processes reported in flight there, PeerUnread the
+	// prompt tokens of theirs that the endpoint has not read yet.
 	PeerRunning int `json:"peer_running"`
 	PeerUnread  int `json:"peer_unread"`
 }
--- a/internal/coordination/gateway/stream.go
+++ b/internal/coordination/gateway/stream.go
@@ -17,9 +17,9 @@
 	"limpetwall/internal/transport/upstream"
 )
 
-// streamState is what the caller already has of a stream.
+// streamState records what the caller has received of a stream.
 type streamState struct {
-	// lastID is the id of the lastID event passed on, number its value.
+	// lastID is the id of the last forwarded event that has one, lastNumber its value if numeric.
 	lastID     string
 	lastNumber int64
 	// unresumable is set if the caller has received data after the last event with an id, or part
