--- a/internal/coordination/gateway/config_test.go
+++ b/internal/coordination/gateway/config_test.go
@@ -17,27 +17,25 @@
 	"limpetwall/internal/state/routes"
 )
 
-// TestStaleConfigRefusalsAreRetryable asks with a key that an entry, cut
-// off from the store, has not heard of yet.
+// TestStaleConfigRefusalsAreRetryable uses a new key and a new route with a gateway that is cut off from the
+// store and does not know them yet.
 //
-// "Unknown key" would make the caller give up a key that is good: it is told to
-// come back instead.
+// A 401 would make the caller give up a valid key, so it must be asked to retry instead.
 func TestStaleConfigRefusalsAreRetryable(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
 	s.gateway.Watcher.Heard(time.Now().Add(-configStaleAfter - time.Second))
 	for _, path := range []string{"/r/x", "/new/x"} {
 		resp, _, err := s.do(s.newRequest("GET", path, "", headerKey+": new"))
 		if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-			t.Errorf("%s: %v %v", path, resp, err)
+			t.Errorf("%s: got %v, error %v; want status 503 with Retry-After", path, resp, err)
 		}
 	}
 }
 
-// TestKeysOfStaleConfig asks a gateway that the store does not answer any more.
+// TestKeysOfStaleConfig sends requests to a gateway that the store no longer answers.
 //
-// Operators who take a key away want it refused everywhere in time. A gateway that can't
-// learn of it serves nobody by keys then and takes no new callers, but goes on with public
-// routes; callers are told to come back.
+// A revoked key must be refused everywhere within a bounded time. A gateway that can't learn of revocations then
+// accepts no keys and reports that it is not ready, but still serves public routes. Callers are asked to retry.
 func TestKeysOfStaleConfig(t *testing.T) {
 	for _, row := range []struct {
 		name     string
@@ -56,12 +54,12 @@
 			s.gateway.KeysValidFor = row.validFor
 			resp, _, err := s.do(s.newRequest("GET", "/r/x", "", headerKey+": key"))
 			if err != nil || resp.StatusCode != row.status {
-				t.Errorf("%v %v", resp, err)
+				t.Errorf("got %v, error %v; want the row's status", resp, err)
 			}
 			w := httptest.NewRecorder()
 			s.gateway.ServeReady(w, nil)
 			if ready := w.Code == 200; ready != (row.validFor == 0) {
-				t.Errorf("ready says %d", w.Code)
+				t.Errorf("got readiness status %d", w.Code)
 			}
 		})
 	}
@@ -72,20 +70,19 @@
 	s.gateway.State = discovery.NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 	resp, _, err := s.do(s.newRequest("GET", "/r/x", ""))
 	if err != nil || resp.StatusCode != 503 {
-		t.Errorf("%v %v", resp, err)
+		t.Errorf("got %v, error %v; want status 503", resp, err)
 	}
 	w := httptest.NewRecorder()
 	s.gateway.ServeReady(w, nil)
 	if w.Code != 503 {
-		t.Errorf("ready says %d", w.Code)
+		t.Errorf("got readiness status %d, want 503", w.Code)
 	}
 }
 
-// TestRequestLogIsRateLimited sends more requests than the log may tell of.
-//
-// All are answered; what the log leaves out is counted.
+// TestRequestLogIsRateLimited sends more requests than the limiter lets into the log. All must be answered, and
+// those missing in the log must be counted.
 func TestRequestLogIsRateLimited(t *testing.T) {
-	// The endpoint closes each connection: the next request must not go out on it.
+	// The endpoint closes each connection, so the next request must not be sent on it.
 	s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
 	core, lines := observer.New(zapcore.InfoLevel)
 	s.gateway.Log = zap.New(core)
@@ -93,22 +90,21 @@
 	s.gateway.RequestLogLimiter = rate.NewLimiter(0, logged)
 	for range sent {
 		if resp, _, err := s.do(s.newRequest("GET", "/r/x", "")); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("%v %v", resp, err)
+			t.Fatalf("got %v, error %v; want status 200", resp, err)
 		}
 	}
-	// A request's line is written after its answer: the server's end waits for both.
+	// The log line is written after the answer; Close waits for both.
 	s.server.Close()
 	dropped := metrics.GetOrRegisterCounter("gateway.request_lines_dropped", s.gateway.Metrics).Count()
 	if got := lines.FilterMessage("request").Len(); got != logged || dropped != sent-logged {
-		t.Errorf("%d lines, %d dropped", got, dropped)
+		t.Errorf("got %d log lines, %d dropped; want 3 and 5", got, dropped)
 	}
 }
 
-// TestCustomerPriorityDecidesOverload asks whether a prompt should wait for half of its
-// objective, for customers with a priority of their own on an urgent route.
+// TestCustomerPriorityDecidesOverload checks which prompts are refused at a wait of half their objective, for customers
+// with and without a priority of their own.
 //
-// What operators say of a customer goes before what they say of the route, in refusals as
-// at the engines.
+// A customer's priority takes precedence over the route's, for refusals as for scheduling in the engines.
 func TestCustomerPriorityDecidesOverload(t *testing.T) {
 	list := []routes.Route{
 		{Name: "urgent", Host: "h", Prefix: "/u/", Priority: 0, Objective: time.Second, Targets: []routes.Target{{Service: "s", Weight: 1}}},
@@ -132,7 +128,7 @@
 		x := &exchange{table: table, route: &list[row.route], service: &services[0], customer: row.customer, deadline: time.Now().Add(time.Minute)}
 		refused := x.refuseOverload(routing.Choice{Wait: 500 * time.Millisecond, TTFT: 600 * time.Millisecond}, 0)
 		if (refused != nil) != row.refused {
-			t.Errorf("%s: %v", row.name, refused)
+			t.Errorf("%s: got refusal %v", row.name, refused)
 		}
 	}
 }
--- a/internal/coordination/gateway/ending_test.go
+++ b/internal/coordination/gateway/ending_test.go
@@ -19,14 +19,13 @@
 	"limpetwall/internal/state/routes"
 )
 
-// TestLastEndpointsFailureReachesCaller asks where only one endpoint is left.
+// TestLastEndpointsFailureReachesCaller guards against a connection that closes without an answer when the
+// only endpoint fails and the request could be retried.
 //
-// Callers saw their connection closed without an answer. The last endpoint ran the request, failed and
-// said so; it might be repeated, but nobody else was left to ask. The failure was written to the caller by
-// the decision "nobody left", whose absent refusal the loop of attempts took for "go on": the next attempt had no
-// endpoint and failed, and that error cut the connection before the answer had left its buffer.
-// Evidence: in the log of each such request the 500 was followed by an attempt at an empty endpoint
-// ("dial tcp: missing address"), and with one endpoint that fails it happened always.
+// The decision that no endpoint is left used to write the failure to the caller itself and return no refusal,
+// which the loop of attempts treated as "continue". The next attempt had no endpoint ("dial tcp: missing
+// address" in the log, after the 500), and its error cut the connection while the answer was still buffered.
+// This happened every time with a single endpoint that fails.
 func TestLastEndpointsFailureReachesCaller(t *testing.T) {
 	rows := []struct {
 		name      string
@@ -37,7 +36,7 @@
 		body      string
 	}{
 		{"failed", routes.Idempotent, false, respond(500, "sorry"), 500, "sorry"},
-		{"failed with a status that callers may hear", routes.Idempotent, false, respond(503, "busy"), 503, "busy"},
+		{"failed with a status that may be forwarded", routes.Idempotent, false, respond(503, "busy"), 503, "busy"},
 		{"a stream that failed before it began", routes.Streaming, true, respond(500, "sorry"), 500, "sorry"},
 		{"broken", routes.Idempotent, false, closeConn, 502, ""},
 		{"rejected", routes.Idempotent, false, reject, 503, ""},
@@ -49,24 +48,23 @@
 			s := newTestServer(t, list, row.endpoint)
 			resp, body, err := s.do(s.newRequest("POST", "/r/x", "order"))
 			if err != nil || resp.StatusCode != row.status {
-				t.Fatalf("the caller got %v, %v; want status %d", resp, err, row.status)
+				t.Fatalf("got %v, error %v; want status %d", resp, err, row.status)
 			}
 			if row.body != "" && (body != row.body || resp.Header.Get("Stamp") != fmt.Sprint(row.status)) {
-				t.Errorf("%q, stamp %q", body, resp.Header.Get("Stamp"))
+				t.Errorf("got body %q, stamp %q; want those of the endpoint's answer", body, resp.Header.Get("Stamp"))
 			}
 			if attempts := metrics.GetOrRegisterCounter("gateway.attempts.not_reached", s.gateway.Metrics).Count(); attempts != 0 || s.requestCount() != 1 {
-				t.Errorf("the endpoint got %d requests, and %d attempts went nowhere; want 1 and none", s.requestCount(), attempts)
+				t.Errorf("the endpoint got %d requests, and %d attempts reached no endpoint; want 1 and 0", s.requestCount(), attempts)
 			}
 		})
 	}
 }
 
-// TestHalfClosedCallerGetsNoEmptyAnswer lets a caller close its sending side and read on.
+// TestHalfClosedCallerGetsNoEmptyAnswer closes only the caller's sending side while the caller still reads.
 //
-// Its end of input counts as leaving: the endpoint is told to stop. A handler that returns then without
-// having written makes net/http answer an empty 200, and one that returns in the middle of a stream
-// makes it write the stream's end: the caller would take either for an endpoint's whole answer. The
-// connection must break instead.
+// The gateway treats this as a disconnect and aborts the attempt. If the handler returned normally, net/http
+// would send an empty 200 when nothing was written, or terminate a partial stream properly. The caller
+// would treat either as an endpoint's complete answer, so the connection must break instead.
 func TestHalfClosedCallerGetsNoEmptyAnswer(t *testing.T) {
 	blockUntilClosed := func(c net.Conn, r *http.Request) { io.Copy(io.Discard, c) }
 	begins := func(c net.Conn, r *http.Request) {
@@ -77,7 +75,7 @@
 		name     string
 		kind     routes.Kind
 		endpoint responder
-		// before is what the caller has read when it stops sending.
+		// before is the last line that the caller has read when it closes its sending side.
 		before string
 	}{
 		{"idempotent", routes.Idempotent, blockUntilClosed, ""},
@@ -105,43 +103,42 @@
 			for row.before != "" && !strings.HasSuffix(read, row.before) {
 				line, err := reader.ReadString('\n')
 				if err != nil {
-					t.Fatalf("after %q: %v", read, err)
+					t.Fatalf("reading after %q: %v", read, err)
 				}
 				read += line
 			}
 			c.(*net.TCPConn).CloseWrite()
-			// However the connection ends, what came before counts.
+			// The kind of error doesn't matter, only the bytes read before it.
 			rest, _ := io.ReadAll(reader)
 			if row.before == "" && len(rest) > 0 {
-				t.Errorf("the caller got an answer that nobody gave: %q", rest)
+				t.Errorf("got %q, want no answer: no endpoint gave one", rest)
 			}
 			if strings.HasSuffix(string(rest), lastChunk) {
-				t.Errorf("the stream ends as if it were whole: %q", rest)
+				t.Errorf("the stream ends as if it were complete: %q", rest)
 			}
 			<-closed
 		})
 	}
 }
 
-// TestBufferedFailureIsSentAtDeadline lets the first endpoint fail and the second fall silent.
-//
-// The first one's whole failure is kept while the second is asked. When the request's time ends
-// the caller must get it: it tells what went wrong, and 504 with an unknown outcome does not.
+// TestBufferedFailureIsSentAtDeadline has the first endpoint fail and the second never answer. At the
+// deadline the caller must get the first one's buffered failure: it says what went wrong, while a 504 with
+// an unknown outcome does not.
 func TestBufferedFailureIsSentAtDeadline(t *testing.T) {
 	silent := func(c net.Conn, r *http.Request) { io.Copy(io.Discard, c) }
 	play := firstThen(respond(500, "sorry"), silent)
 	s := newTestServer(t, singleRoute(routes.Idempotent, 2), play, play)
 	resp, body, err := s.do(s.newRequest("POST", "/r/x", "x", headerTimeLeft+": 200"))
 	if err != nil || resp.StatusCode != 500 || body != "sorry" {
-		t.Errorf("%v %q %v, want the endpoint's own 500", resp, body, err)
+		t.Errorf("got %v, body %q, error %v; want the endpoint's own 500", resp, body, err)
 	}
 }
 
-// TestStatusRulesApplyToLongAnswers lets endpoints give answers too long to be kept whole.
+// TestStatusRulesApplyToLongAnswers covers answers that are too long to be buffered.
 //
-// A failure on a streaming route was cut at the most that is kept, and told as whole. A status
-// that promises "not run" was passed on for a request that had run, as only short answers
-// were looked at: the caller would send its order again.
+// On a streaming route, a long failure was truncated at the buffer's limit and sent as if complete. A status
+// that promises that the request did not run was forwarded for one that had run, because only short answers
+// were checked: the caller would then send the request again.
 func TestStatusRulesApplyToLongAnswers(t *testing.T) {
 	long := strings.Repeat("b", maxBufferedBytes+1000)
 	rows := []struct {
@@ -163,17 +160,16 @@
 			s := newTestServer(t, singleRoute(row.kind, 1), row.answer)
 			resp, body, err := s.do(s.newRequest("POST", "/r/x", "order"))
 			if err != nil || resp.StatusCode != row.status || (body == long) != row.whole {
-				t.Errorf("%v, %d bytes of %d, %v; want %d", resp, len(body), len(long), err, row.status)
+				t.Errorf("got %v, %d bytes of %d, error %v; want status %d", resp, len(body), len(long), err, row.status)
 			}
 		})
 	}
 }
 
-// TestPartialAnswerIsNotJoinedToAnother breaks answers on a route whose streams may be resumed, before
-// the caller has an event that a second run could go on behind.
-//
-// Events without ids can't be gone on behind, nor can an answer that is no stream: another endpoint
-// would begin anew, and the caller would read both as one answer. The connection must break.
+// TestPartialAnswerIsNotJoinedToAnother breaks answers on a route with resumable streams where the caller
+// has received data that can't be resumed after: events without ids, or part of an answer that is not a
+// stream. Another endpoint would start from scratch, and the caller would read both as one answer, so the
+// connection must break.
 func TestPartialAnswerIsNotJoinedToAnother(t *testing.T) {
 	truncated := func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 201 X\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", headerID, r.Header.Get(headerID), 2*maxBufferedBytes, strings.Repeat("b", maxBufferedBytes))
@@ -191,21 +187,21 @@
 			s := newTestServer(t, list, play, play)
 			_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 			if err == nil || s.requestCount() != 1 {
-				t.Errorf("%d runs, the caller got %d bytes that end in %q, %v", s.requestCount(), len(body), body[max(0, len(body)-40):], err)
+				t.Errorf("got %d requests, %d bytes that end in %q, error %v; want 1 request and an error", s.requestCount(), len(body), body[max(0, len(body)-40):], err)
 			}
 		})
 	}
 }
 
-// respondTruncatedStream begins a stream with text and breaks it off.
+// respondTruncatedStream sends text as the first chunk of a stream and then closes the connection.
 func respondTruncatedStream(text string) responder {
 	return func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", headerID, r.Header.Get(headerID), len(text), text)
 	}
 }
 
-// TestCommentsDoNotPreventResumption breaks a stream of which the caller has a comment only, or an event and
-// a comment behind it: another endpoint goes on, as comments are part of no answer.
+// TestCommentsDoNotPreventResumption breaks a stream after a comment, or after an event and a comment. Another
+// endpoint must resume it, because comments are not part of the answer.
 func TestCommentsDoNotPreventResumption(t *testing.T) {
 	const one, two, comment = "id: 1\ndata: 1\n\n", "id: 2\ndata: 2\n\n", ": wait\n\n"
 	rows := []struct{ sent, whole string }{
@@ -226,15 +222,14 @@
 		s := newTestServer(t, list, play, play)
 		_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 		if err != nil || body != row.whole {
-			t.Errorf("after %q the caller got %q, %v; want %q", row.sent, body, err, row.whole)
+			t.Errorf("after %q: got body %q, error %v; want %q", row.sent, body, err, row.whole)
 		}
 	}
 }
 
-// TestBufferedFailureIsNotReplaced lets two endpoints fail a stream before it begins, the second with
-// a status that promises "not run" and so may not be passed on.
-//
-// The first one's failure is ready and tells what went wrong: it goes out, not 502.
+// TestBufferedFailureIsNotReplaced has two endpoints fail before the stream begins, the second with a status
+// that promises that the request did not run and so may not be forwarded. The caller must get the first
+// one's failure, which says what went wrong, and not a 502.
 func TestBufferedFailureIsNotReplaced(t *testing.T) {
 	list := singleRoute(routes.Streaming, 2)
 	list[0].Resumable = true
@@ -242,39 +237,39 @@
 	s := newTestServer(t, list, play, play)
 	resp, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 	if err != nil || resp.StatusCode != 500 || body != "sorry" {
-		t.Errorf("%v %q %v, want the first endpoint's 500", resp, body, err)
+		t.Errorf("got %v, body %q, error %v; want the first endpoint's 500", resp, body, err)
 	}
 }
 
-// TestRejectedThenNotReached lets one endpoint reject a request and finds nobody at the other.
+// TestRejectedThenNotReached has one endpoint that rejects the request and one that is unreachable.
 //
-// Nothing ran, in whichever order the two are asked. A caller that hears "unknown" of a request
-// that may run only once must never send it again; it has to hear that it may.
+// Nothing ran, in whichever order the two are tried, and the caller must be told that it may retry. After an
+// unknown outcome it could never resend a request that may run only once.
 func TestRejectedThenNotReached(t *testing.T) {
 	for _, kind := range []routes.Kind{routes.Idempotent, routes.NonIdempotent} {
-		// Which endpoint is asked first is chance: most of these meet the one that rejects.
+		// Which endpoint is tried first is random, hence the repetition: most rounds reach the one that rejects.
 		for range 10 {
 			s := newTestServer(t, singleRoute(kind, 3), reject)
 			s.gateway.State.SetInstance(discovery.Instance{ID: "nobody", Revision: 9, Service: "s", Address: "127.0.0.1:1", Domain: "a", Slots: 4})
 			resp, body, err := s.do(s.newRequest("POST", "/r/x", "order"))
 			if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-				t.Fatalf("%v %q %v, want 503 and a time to come back", resp, body, err)
+				t.Fatalf("got %v, body %q, error %v; want status 503 with Retry-After", resp, body, err)
 			}
 		}
 	}
 }
 
-// TestLastEndpointSpendsNoRetryBudget fails requests where nobody else can be asked.
+// TestLastEndpointSpendsNoRetryBudget fails requests when no other endpoint is left.
 //
-// The retry budget is one for all services. A service down to one failing endpoint would use
-// it up without a single retry, and requests of other services would not be retried.
+// All services share one retry budget. A service with a single, failing endpoint would use it up without
+// making a retry, and requests of other services would then not be retried.
 func TestLastEndpointSpendsNoRetryBudget(t *testing.T) {
-	// The fake endpoint closes its connection after an answer: it must not be used again.
+	// The fake endpoint closes its connection after each answer, so the connection must not be reused.
 	s := newTestServer(t, singleRoute(routes.Idempotent, 3), respond(500, "sorry"))
 	s.gateway.RetryBudget = runs.NewRetryBudget(0, 5)
 	for range 10 {
 		if resp, _, err := s.do(s.newRequest("POST", "/r/x", "order")); err != nil || resp.StatusCode != 500 {
-			t.Fatalf("%v %v", resp, err)
+			t.Fatalf("got %v, error %v; want status 500", resp, err)
 		}
 	}
 	left := 0
@@ -282,30 +277,29 @@
 		left++
 	}
 	if left != 5 {
-		t.Errorf("%d retries are left of 5, none was made", left)
+		t.Errorf("%d of 5 retries are left, want all: none was made", left)
 	}
 }
 
-// TestExhaustedRetryBudgetReleasesEndpoint fails a request when no retry may be made: the endpoint chosen for
-// one must not stay booked as if it were at work.
+// TestExhaustedRetryBudgetReleasesEndpoint fails a request while the retry budget is empty: the endpoint chosen
+// for the retry must be released, or the directory would count a run there for good.
 func TestExhaustedRetryBudgetReleasesEndpoint(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 3), respond(500, "sorry"), respond(500, "sorry"))
 	s.gateway.RetryBudget = runs.NewRetryBudget(0, 0)
 	if resp, _, err := s.do(s.newRequest("POST", "/r/x", "order")); err != nil || resp.StatusCode != 500 || s.requestCount() != 1 {
-		t.Fatalf("%v %v, %d runs", resp, err, s.requestCount())
+		t.Fatalf("got %v, error %v, %d requests; want status 500, 1 request", resp, err, s.requestCount())
 	}
 	for _, w := range s.gateway.Directory.OwnWork() {
 		if w.Running != 0 {
-			t.Errorf("%d runs are booked at an endpoint that has none", w.Running)
+			t.Errorf("the directory counts %d runs at an endpoint that has none", w.Running)
 		}
 	}
 }
 
 // TestBodyReadTimeout sends half a body and waits.
 //
-// At the end of the request's time the read of its body ends, and net/http ends the request's context
-// as it does when a caller leaves. This caller is still there: it must be told that nothing
-// ran and that it may come back.
+// At the deadline the read of the body times out, and net/http cancels the request's context as it does when
+// a caller disconnects. This caller is still connected: it must be told that nothing ran and that it may retry.
 func TestBodyReadTimeout(t *testing.T) {
 	for _, head := range []string{"Content-Length: 4\r\n\r\nab", "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n"} {
 		s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), respond(201, "whole"))
@@ -321,27 +315,27 @@
 		}
 		body, err := io.ReadAll(resp.Body)
 		if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || s.requestCount() != 0 {
-			t.Errorf("%v %q %v, %d runs", resp, body, err, s.requestCount())
+			t.Errorf("got %v, body %q, error %v, %d requests; want status 503 with Retry-After, 0 requests", resp, body, err, s.requestCount())
 		}
 	}
 }
 
-// TestDisconnectTakesPrecedenceOverBufferedFailure decides on an ending when a failure is kept and its caller has just
-// left: told as an answer, the request's line and counters would name one that nobody got.
+// TestDisconnectTakesPrecedenceOverBufferedFailure decides on an ending when a failure is buffered and the caller
+// has just left. As an answer, it would appear in the log and the counters although no caller received it.
 func TestDisconnectTakesPrecedenceOverBufferedFailure(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 2))
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
 	x := &exchange{g: s.gateway, r: s.newRequest("GET", "/r/x", "").WithContext(ctx), lastFailure: &bufferedAnswer{status: 500}}
 	if end := x.finalEnding(outcome{kind: answeredFailure}, 1); end.kind != endCallerLeft {
-		t.Errorf("the exchange ends as %d, want %d", end.kind, endCallerLeft)
+		t.Errorf("got ending %d, want %d", end.kind, endCallerLeft)
 	}
 }
 
-// brokenWriter is the way to a caller whose connection has broken; net/http has not noticed.
+// brokenWriter is the ResponseWriter of a caller whose connection has broken before net/http notices.
 type brokenWriter struct {
 	*httptest.ResponseRecorder
-	// writesLeft writes go through.
+	// writesLeft is the number of writes that still succeed.
 	writesLeft int
 }
 
@@ -352,8 +346,8 @@
 	return w.ResponseRecorder.Write(b)
 }
 
-// TestWriteErrorToCallerIsNotEndpointFailure guards against endpoints that are left out as callers leave in the
-// middle of long answers.
+// TestWriteErrorToCallerIsNotEndpointFailure guards against healthy endpoints being excluded because callers
+// disconnect in the middle of long answers.
 func TestWriteErrorToCallerIsNotEndpointFailure(t *testing.T) {
 	for writes := range 2 {
 		s := newTestServer(t, singleRoute(routes.Idempotent, 2), respond(200, strings.Repeat("b", 2*maxBufferedBytes)))
@@ -368,12 +362,13 @@
 			t.Fatal(refusal)
 		}
 		if end := x.serve(); end.kind != endCallerLeft || x.attempts[0].Outcome != callerLeft.String() {
-			t.Errorf("%d writes: ending %d, attempt %s", writes, end.kind, x.attempts[0].Outcome)
+			t.Errorf("after %d writes: got ending %d, attempt %s; want the caller to have left", writes, end.kind, x.attempts[0].Outcome)
 		}
 	}
 }
 
-// TestResumptionSkipsFailedEndpoint guards against a resumed stream that ends as its next endpoint fails, while another may go on.
+// TestResumptionSkipsFailedEndpoint guards against a resumed stream that ends because the next endpoint fails
+// although another one could continue it.
 func TestResumptionSkipsFailedEndpoint(t *testing.T) {
 	rows := map[string]responder{
 		"failure":             respond(500, "sorry"),
@@ -391,14 +386,14 @@
 			s := newTestServer(t, list, play, play, play)
 			_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 			if err != nil || eventIDs(body) != "1 2 3" || s.requestCount() != 3 {
-				t.Errorf("%d runs, %q, %v", s.requestCount(), body, err)
+				t.Errorf("got %d requests, body %q, error %v; want 3 requests, events 1 2 3", s.requestCount(), body, err)
 			}
 		})
 	}
 }
 
-// TestJSONAnswerOnStreamingRoute guards against "answer lost" in place of a whole answer that is no stream, on a route whose
-// answers are.
+// TestJSONAnswerOnStreamingRoute guards against an error "answer was lost" in place of a complete answer that is
+// a JSON document and not a stream, on a streaming route.
 func TestJSONAnswerOnStreamingRoute(t *testing.T) {
 	const body, lines = `{"whole":true}`, "Content-Type: application/json"
 	rows := map[string]responder{
@@ -411,14 +406,14 @@
 			s := newTestServer(t, singleRoute(routes.Streaming, 1), answer)
 			resp, got, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 			if err != nil || resp.StatusCode != 200 || got != body || resp.Header.Get("Content-Type") != "application/json" {
-				t.Errorf("%v %q %v", resp, got, err)
+				t.Errorf("got %v, body %q, error %v; want the endpoint's document", resp, got, err)
 			}
 		})
 	}
 }
 
-// TestCanceledAttemptsDoNotAffectHealth guards against an endpoint that hangs and stays in use, as each caller that leaves it counts as a
-// success, and against one that is left out as this process ended its runs.
+// TestCanceledAttemptsDoNotAffectHealth guards against an endpoint that hangs but stays in use because each
+// caller that leaves counts as a success, and against one that is excluded because this process ended its runs.
 func TestCanceledAttemptsDoNotAffectHealth(t *testing.T) {
 	fails := outcome{kind: broken}
 	ends := []outcome{
@@ -427,7 +422,7 @@
 	}
 	for _, end := range ends {
 		if isChosenAfter(t, fails, fails, end, fails) {
-			t.Errorf("%+v: the endpoint is used after three failures", end)
+			t.Errorf("%+v: the endpoint is still used after three failures", end)
 		}
 		if !isChosenAfter(t, fails, fails, end) {
 			t.Errorf("%+v: the endpoint is not used after two failures", end)
@@ -435,7 +430,8 @@
 	}
 }
 
-// isChosenAfter tells whether an endpoint is still chosen beside another after its attempts ended so.
+// isChosenAfter reports whether an endpoint is still chosen, with another one available, after attempts at it
+// ended as given.
 func isChosenAfter(t *testing.T, ends ...outcome) bool {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 1), closeConn, closeConn)
 	x := &exchange{g: s.gateway, r: s.newRequest("GET", "/r/x", ""), route: &singleRoute(routes.Idempotent, 1)[0], service: &routes.Service{Name: "s"}}
--- a/internal/coordination/gateway/framing_test.go
+++ b/internal/coordination/gateway/framing_test.go
@@ -12,14 +12,14 @@
 	"limpetwall/internal/state/routes"
 )
 
-// respondRaw answers with a status line, header lines and bytes as they are written here.
+// respondRaw answers with the given status, header lines and body bytes, unchanged.
 func respondRaw(status, lines, rest string) responder {
 	return func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 %s\r\n%s: %s\r\nStamp: 1\r\n%s\r\n%s", status, headerID, r.Header.Get(headerID), lines, rest)
 	}
 }
 
-// respondThen does something to a connection when its answer has been written.
+// respondThen writes an answer and then calls do with the connection.
 func respondThen(answer responder, do func(c *net.TCPConn)) responder {
 	return func(c net.Conn, r *http.Request) {
 		answer(c, r)
@@ -27,7 +27,7 @@
 	}
 }
 
-// respondRepeatedly answers request after request on one connection, until it ends.
+// respondRepeatedly answers all requests on one connection, until it closes.
 func respondRepeatedly(answer responder) responder {
 	return func(c net.Conn, r *http.Request) {
 		reader := bufio.NewReader(c)
@@ -37,7 +37,8 @@
 	}
 }
 
-// TestAnswerFraming guards against whole answers that are lost, and broken ones that look whole, by how they are delimited.
+// TestAnswerFraming covers the ways in which HTTP delimits an answer. It guards against complete answers that are
+// lost and truncated ones that look complete.
 func TestAnswerFraming(t *testing.T) {
 	long := strings.Repeat("b", maxBufferedBytes)
 	end := func(c *net.TCPConn) { c.Close() }
@@ -50,7 +51,7 @@
 		name   string
 		method string
 		answer responder
-		// status 0 stands for a connection that ends early.
+		// status 0 means that the caller's connection breaks before the answer is complete.
 		status int
 		body   string
 	}{
@@ -98,7 +99,7 @@
 				}
 				defer c.Close()
 				reader := bufio.NewReader(c)
-				// The second request on the connection shows that the first answer ended where it should.
+				// The second request on the same connection checks that the first answer ended in the right place.
 				for n := range 2 {
 					fmt.Fprintf(c, "%s /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n\r\n", row.method, headerID, headerKey)
 					resp, err := http.ReadResponse(reader, &http.Request{Method: row.method})
@@ -108,18 +109,18 @@
 					body, err := io.ReadAll(resp.Body)
 					if row.status == 0 {
 						if err == nil {
-							t.Errorf("%d bytes that look whole", len(body))
+							t.Errorf("got %d bytes that look complete, want an error", len(body))
 						}
 						return
 					}
 					if err != nil || resp.StatusCode != row.status || (row.status != 502 && string(body) != row.body) {
-						t.Errorf("request %d: %v, %d bytes, %v; want %d", n, resp.Status, len(body), err, row.status)
+						t.Errorf("request %d: got %v, %d bytes, error %v; want status %d", n, resp.Status, len(body), err, row.status)
 					}
 					if stamped := resp.Header.Get("Stamp") == "1"; stamped == (row.status == 502) {
-						t.Errorf("request %d: stamp %v", n, stamped)
+						t.Errorf("request %d: got an endpoint's stamp: %v", n, stamped)
 					}
 					if resp.Close {
-						t.Errorf("request %d: the caller's connection ends", n)
+						t.Errorf("request %d: the caller's connection is to close, want it kept open", n)
 					}
 				}
 			})
--- a/internal/coordination/gateway/ingress_test.go
+++ b/internal/coordination/gateway/ingress_test.go
@@ -17,7 +17,8 @@
 	"limpetwall/internal/transport/ingress"
 )
 
-// serveIngress serves a site's gateway as its process does and returns a connection to it.
+// serveIngress serves the gateway through an ingress server, as its process does, and returns that server and a
+// connection to it with its reader.
 func (s *testServer) serveIngress() (*ingress.Server, net.Conn, *bufio.Reader) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,30 +37,31 @@
 	return server, c, bufio.NewReader(c)
 }
 
-// reconfigure puts the next configuration in force.
+// reconfigure replaces the configuration by one with a later revision.
 func (s *testServer) reconfigure(list []routes.Route, services []routes.Service, customers []routes.Customer, limits routes.Limits) {
 	revision := s.gateway.State.Routes().Revision + 100
 	s.gateway.State.SetRoutes(routes.New(revision, revision, list, services, customers, limits))
 }
 
-// expectStatus reads an answer that must be whole.
+// expectStatus reads an answer, which must be complete and have the status. It also fails the test if a handler
+// has panicked.
 func (s *testServer) expectStatus(r *bufio.Reader, status int) {
 	s.t.Helper()
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
-		s.t.Errorf("the caller got %v", err)
+		s.t.Errorf("reading the answer: %v", err)
 		return
 	}
 	if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != status {
-		s.t.Errorf("the caller got %d %q %v, want %d", resp.StatusCode, body, err, status)
+		s.t.Errorf("got status %d, body %q, error %v; want status %d", resp.StatusCode, body, err, status)
 	}
 	if panics := metrics.GetOrRegisterCounter("ingress.panics", s.gateway.Metrics).Count(); panics != 0 {
-		s.t.Errorf("%d panics", panics)
+		s.t.Errorf("got %d panics, want none", panics)
 	}
 }
 
-// TestLimitsLoweredDuringRequestRead guards against a configuration that closes connections under
-// requests which its limits don't allow any more.
+// TestLimitsLoweredDuringRequestRead guards against closed connections when a new configuration lowers limits while
+// a request is being read: the caller must get a refusal, or its answer.
 func TestLimitsLoweredDuringRequestRead(t *testing.T) {
 	const head = "POST /r/x HTTP/1.1\r\nHost: h\r\n" + headerID + ": id-1\r\n" + headerKey + ": key\r\n"
 	long := strings.Repeat("x", 300<<10)
@@ -91,7 +93,7 @@
 	}
 }
 
-// TestHugeContentLength guards against a panic on a length that no limit in force forbids.
+// TestHugeContentLength guards against a panic on a Content-Length larger than memory, when no limit is configured.
 func TestHugeContentLength(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), respond(200, "a"))
 	s.reconfigure(singleRoute(routes.NonIdempotent, 1), []routes.Service{{Name: "s"}}, []routes.Customer{{Name: "club", Keys: []string{"key"}}}, routes.Limits{})
@@ -100,8 +102,8 @@
 	s.expectStatus(r, http.StatusServiceUnavailable)
 }
 
-// TestConfigRemovedInFlight guards against a panic on a route, service or customer that is
-// gone when the endpoint of a request underway answers or fails.
+// TestConfigRemovedInFlight guards against a panic when the route, service and customer of a request in flight are
+// removed before its endpoint answers or fails.
 func TestConfigRemovedInFlight(t *testing.T) {
 	rows := []struct {
 		name   string
@@ -137,17 +139,17 @@
 	}
 }
 
-// TestWaitingCallerIsNotSeenAsDisconnected guards against read errors that are none of the caller's, such
-// as a deadline left over from its body or header: its request's time ends, and it must be told.
+// TestWaitingCallerIsNotSeenAsDisconnected guards against read errors that the caller didn't cause, such as a read
+// deadline left over from its header or body. At the request's deadline the caller must still get its answer.
 func TestWaitingCallerIsNotSeenAsDisconnected(t *testing.T) {
 	head := fmt.Sprintf("POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n%s: 150\r\n", headerID, headerKey, headerTimeLeft)
 	const length, chunked = "Content-Length: 5\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n"
 	rows := []struct {
 		name string
 		sent string
-		// later is sent when the gateway has what comes before.
+		// later is sent when the gateway has received what comes before.
 		later string
-		// answers that are due, all of them 504.
+		// answers is the number of answers to expect, each with status 504.
 		answers int
 	}{
 		{"no body", head + "Content-Length: 0\r\n\r\n", "", 1},
@@ -166,7 +168,7 @@
 			server, c, r := s.serveIngress()
 			io.WriteString(c, row.sent)
 			s.waitInFlight()
-			// Waits that are over at once would end a read that still stands under a limit.
+			// A timeout that expires at once would end any read to which a limit still applies.
 			server.SetLimits(routes.Limits{HeaderTimeout: time.Nanosecond, IdleTimeout: time.Minute})
 			io.WriteString(c, row.later)
 			for range row.answers {
@@ -176,8 +178,8 @@
 	}
 }
 
-// TestLateRequestsDuringDrain guards against requests that come late in the time to stop and are cut
-// with an endpoint at work: what can't end in time is refused, unrun, and may go elsewhere.
+// TestLateRequestsDuringDrain guards against requests that start late in a drain and are cut off while an endpoint
+// runs them. A request that may not end in time is refused before it runs, so that the caller can send it elsewhere.
 func TestLateRequestsDuringDrain(t *testing.T) {
 	const margin = time.Minute
 	rows := []struct {
@@ -194,7 +196,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
 			now := time.Now()
-			// The route gives 30 s.
+			// The route's timeout is 30 s.
 			s.gateway.SetDrainWindow(now.Add(row.refuseAfter), now.Add(20*time.Second))
 			req := s.newRequest("GET", "/r/x", "")
 			if row.timeLeft > 0 {
@@ -202,7 +204,7 @@
 			}
 			resp, body, err := s.do(req)
 			if err != nil || resp.StatusCode != row.status || s.requestCount() != row.requests {
-				t.Fatalf("%v %q %v, %d runs", resp, body, err, s.requestCount())
+				t.Fatalf("got %v, body %q, error %v, %d requests; want the row's status and number of requests", resp, body, err, s.requestCount())
 			}
 			if row.status == 503 && (resp.Header.Get("Retry-After") == "" || resp.Header.Get("X-Limpetwall-Ran") != "no") {
 				t.Errorf("%v", resp.Header)
--- a/internal/coordination/gateway/requestlog_test.go
+++ b/internal/coordination/gateway/requestlog_test.go
@@ -15,12 +15,11 @@
 	"limpetwall/internal/state/routes"
 )
 
-// TestRequestLogNamesWhatCallerReceived ends exchanges in each way and compares the request's
-// line with what its caller saw.
+// TestRequestLogNamesWhatCallerReceived ends requests in different ways and compares the log line with what the
+// caller received.
 //
-// A stream that breaks after its first event ends with a decision of 502, and its caller
-// has a 200 and a cut connection. A line that says 502 alone sends on-call looking for a 502
-// that nobody received.
+// A stream that breaks after its first event ends with a 502 internally, while the caller has received a 200 and
+// a broken connection. With the 502 alone in the log, on-call would look for a 502 that nobody received.
 func TestRequestLogNamesWhatCallerReceived(t *testing.T) {
 	rows := []struct {
 		name     string
@@ -44,22 +43,22 @@
 			s.gateway.Log = zap.New(core)
 			resp, _, err := s.do(s.newRequest("POST", "/r/x", "b"))
 			if cut := err != nil; cut != (row.got == receipt.Part) || (resp != nil && int64(resp.StatusCode) != row.status) {
-				t.Errorf("the caller saw %v, %v", resp, err)
+				t.Errorf("the caller got %v, error %v", resp, err)
 			}
 			s.server.Close()
 			line := lines.FilterMessage("request").All()[0].ContextMap()
 			if line["caller_got"] != string(row.got) || line["caller_status"] != row.status {
-				t.Errorf("the line says %v, status %v; want %v, %v", line["caller_got"], line["caller_status"], row.got, row.status)
+				t.Errorf("the log has receipt %v, status %v; want %v, %v", line["caller_got"], line["caller_status"], row.got, row.status)
 			}
 			if cuts := metrics.GetOrRegisterCounter("gateway.answers_cut", s.gateway.Metrics).Count(); cuts != row.cuts {
-				t.Errorf("answers cut: %d, want %d", cuts, row.cuts)
+				t.Errorf("got %d answers cut off, want %d", cuts, row.cuts)
 			}
 		})
 	}
 }
 
-// TestRequestLogOfDisconnectedCaller lets a caller leave while an endpoint is at work: the line
-// names no status, as none arrived.
+// TestRequestLogOfDisconnectedCaller disconnects a caller while an endpoint runs its request: the log line must
+// name no status, because the caller received none.
 func TestRequestLogOfDisconnectedCaller(t *testing.T) {
 	arrived := make(chan struct{})
 	blockUntilClosed := func(c net.Conn, _ *http.Request) {
@@ -75,16 +74,17 @@
 		leave()
 	}()
 	if _, _, err := s.do(s.newRequest("POST", "/r/x", "b").WithContext(ctx)); err == nil {
-		t.Error("the caller did not leave")
+		t.Error("the caller got an answer, want an error: it has disconnected")
 	}
 	s.server.Close()
 	line := lines.FilterMessage("request").All()[0].ContextMap()
 	if _, present := line["caller_status"]; present || line["caller_got"] != string(receipt.Nothing) {
-		t.Errorf("the line says %v, status %v", line["caller_got"], line["caller_status"])
+		t.Errorf("the log has receipt %v, status %v; want nothing and no status", line["caller_got"], line["caller_status"])
 	}
 }
 
-// TestRequestLogWithoutDeadline guards against a log that tells of minus 292 years.
+// TestRequestLogWithoutDeadline guards against a time of minus 292 years in the log line of a request that is refused
+// before its deadline is set.
 func TestRequestLogWithoutDeadline(t *testing.T) {
 	core, lines := observer.New(zap.InfoLevel)
 	s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
@@ -94,6 +94,6 @@
 	}
 	s.server.Close()
 	if given, present := lines.FilterMessage("request").All()[0].ContextMap()["time_given"]; present {
-		t.Errorf("time_given is %v", given)
+		t.Errorf("got time_given %v, want none", given)
 	}
 }
