--- a/internal/coordination/gateway/attempt.go
+++ b/internal/coordination/gateway/attempt.go
@@ -40,8 +40,8 @@
 )
 
 // String returns the name used in logs and in names of metrics.
-func (v outcomeKind) String() string {
-	return [...]string{"delivered", "not_reached", "rejected", "answered_failure", "broken", "timed_out", "caller_gone", "moved_on", "stopped", "called_back"}[v]
+func (k outcomeKind) String() string {
+	return [...]string{"delivered", "not_reached", "rejected", "answered_failure", "broken", "timed_out", "caller_gone", "moved_on", "stopped", "called_back"}[k]
 }
 
 // outcome is how one attempt ended.
--- a/internal/coordination/gateway/ending_test.go
+++ b/internal/coordination/gateway/ending_test.go
@@ -126,8 +126,8 @@
 // an unknown outcome does not.
 func TestBufferedFailureIsSentAtDeadline(t *testing.T) {
 	silent := func(c net.Conn, r *http.Request) { io.Copy(io.Discard, c) }
-	play := firstThen(respond(500, "sorry"), silent)
-	s := newTestServer(t, singleRoute(routes.Idempotent, 2), play, play)
+	answer := firstThen(respond(500, "sorry"), silent)
+	s := newTestServer(t, singleRoute(routes.Idempotent, 2), answer, answer)
 	resp, body, err := s.do(s.newRequest("POST", "/r/x", "x", headerTimeLeft+": 200"))
 	if err != nil || resp.StatusCode != 500 || body != "sorry" {
 		t.Errorf("got %v, body %q, error %v; want the endpoint's own 500", resp, body, err)
@@ -149,11 +149,11 @@
 		whole  bool
 	}{
 		{"a stream's failure", routes.Streaming, respond(400, long), 400, true},
-		{"no stream at all", routes.Streaming, respond(201, long), 201, true},
+		{"not a stream", routes.Streaming, respond(201, long), 201, true},
 		{"503 after running", routes.NonIdempotent, respond(503, long), 502, false},
 		{"429 after running", routes.NonIdempotent, respond(429, long), 502, false},
 		{"a stream's 503 after running", routes.Streaming, respond(503, long), 502, false},
-		{"503 of what may be repeated", routes.Idempotent, respond(503, long), 503, true},
+		{"503, idempotent", routes.Idempotent, respond(503, long), 503, true},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -183,8 +183,8 @@
 		t.Run(name, func(t *testing.T) {
 			list := singleRoute(routes.Streaming, 2)
 			list[0].Resumable = true
-			play := firstThen(first, respondStream(lastChunk, "1", "2"))
-			s := newTestServer(t, list, play, play)
+			answer := firstThen(first, respondStream(lastChunk, "1", "2"))
+			s := newTestServer(t, list, answer, answer)
 			_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 			if err == nil || s.requestCount() != 1 {
 				t.Errorf("got %d requests, %d bytes that end in %q, error %v; want 1 request and an error", s.requestCount(), len(body), body[max(0, len(body)-40):], err)
@@ -218,8 +218,8 @@
 			}
 			respondStream(lastChunk, "1", "2")(c, r)
 		}
-		play := firstThen(respondTruncatedStream(row.sent), resume)
-		s := newTestServer(t, list, play, play)
+		answer := firstThen(respondTruncatedStream(row.sent), resume)
+		s := newTestServer(t, list, answer, answer)
 		_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 		if err != nil || body != row.whole {
 			t.Errorf("after %q: got body %q, error %v; want %q", row.sent, body, err, row.whole)
@@ -233,8 +233,8 @@
 func TestBufferedFailureIsNotReplaced(t *testing.T) {
 	list := singleRoute(routes.Streaming, 2)
 	list[0].Resumable = true
-	play := firstThen(respond(500, "sorry"), respond(503, "busy"))
-	s := newTestServer(t, list, play, play)
+	answer := firstThen(respond(500, "sorry"), respond(503, "busy"))
+	s := newTestServer(t, list, answer, answer)
 	resp, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 	if err != nil || resp.StatusCode != 500 || body != "sorry" {
 		t.Errorf("got %v, body %q, error %v; want the first endpoint's 500", resp, body, err)
@@ -382,8 +382,8 @@
 		t.Run(name, func(t *testing.T) {
 			list := singleRoute(routes.Streaming, 3)
 			list[0].Resumable = true
-			play := firstThen(respondStream("", "1"), firstThen(second, respondStream(lastChunk, "2", "3")))
-			s := newTestServer(t, list, play, play, play)
+			answer := firstThen(respondStream("", "1"), firstThen(second, respondStream(lastChunk, "2", "3")))
+			s := newTestServer(t, list, answer, answer, answer)
 			_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 			if err != nil || eventIDs(body) != "1 2 3" || s.requestCount() != 3 {
 				t.Errorf("got %d requests, body %q, error %v; want 3 requests, events 1 2 3", s.requestCount(), body, err)
--- a/internal/coordination/gateway/framing_test.go
+++ b/internal/coordination/gateway/framing_test.go
@@ -41,7 +41,7 @@
 // lost and truncated ones that look complete.
 func TestAnswerFraming(t *testing.T) {
 	long := strings.Repeat("b", maxBufferedBytes)
-	end := func(c *net.TCPConn) { c.Close() }
+	closeTCP := func(c *net.TCPConn) { c.Close() }
 	reset := func(c *net.TCPConn) {
 		c.SetLinger(0)
 		c.Close()
@@ -58,36 +58,36 @@
 		{"length", "GET", respondRaw("200 OK", "Content-Length: 5\r\n", "whole"), 200, "whole"},
 		{"length and close", "GET", respondRaw("200 OK", "Content-Length: 5\r\nConnection: close\r\n", "whole"), 200, "whole"},
 		{"length twice, the same", "GET", respondRaw("200 OK", "Content-Length: 5\r\nContent-Length: 5\r\n", "whole"), 200, "whole"},
-		{"length twice, not the same", "GET", respondRaw("200 OK", "Content-Length: 5\r\nContent-Length: 4\r\n", "whole"), 502, ""},
+		{"length twice, different", "GET", respondRaw("200 OK", "Content-Length: 5\r\nContent-Length: 4\r\n", "whole"), 502, ""},
 		{"length 0", "GET", respondRaw("200 OK", "Content-Length: 0\r\n", ""), 200, ""},
 		{"more than the length", "GET", respondRaw("200 OK", "Content-Length: 5\r\n", "whole and more"), 200, "whole"},
-		{"cut inside the length", "GET", respondThen(respondRaw("200 OK", "Content-Length: 5\r\n", "who"), end), 502, ""},
-		{"no length, ended", "GET", respondThen(respondRaw("200 OK", "", "whole"), end), 200, "whole"},
-		{"no length, empty, ended", "GET", respondThen(respondRaw("200 OK", "", ""), end), 200, ""},
+		{"cut inside the length", "GET", respondThen(respondRaw("200 OK", "Content-Length: 5\r\n", "who"), closeTCP), 502, ""},
+		{"no length, ended", "GET", respondThen(respondRaw("200 OK", "", "whole"), closeTCP), 200, "whole"},
+		{"no length, empty, ended", "GET", respondThen(respondRaw("200 OK", "", ""), closeTCP), 200, ""},
 		{"no length, reset", "GET", respondThen(respondRaw("200 OK", "", "half"), reset), 502, ""},
 		{"chunked", "GET", respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", chunked("whole")+lastChunk), 200, "whole"},
 		{"chunked, empty", "GET", respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", lastChunk), 200, ""},
-		{"chunked, cut between chunks", "GET", respondThen(respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", chunked("half")), end), 502, ""},
-		{"chunked, cut in its end", "GET", respondThen(respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", chunked("half")+"0\r\n"), end), 502, ""},
+		{"chunked, cut between chunks", "GET", respondThen(respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", chunked("half")), closeTCP), 502, ""},
+		{"chunked, cut in the last chunk", "GET", respondThen(respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", chunked("half")+"0\r\n"), closeTCP), 502, ""},
 		{"interim answer first", "GET", respondRaw("103 Early Hints", "\r\nHTTP/1.1 200 OK\r\n"+headerID+": id-1\r\nStamp: 1\r\nContent-Length: 5\r\n", "whole"), 200, "whole"},
 		{"HEAD with a length", "HEAD", respondRaw("200 OK", "Content-Length: 5\r\n", ""), 200, ""},
-		{"HEAD without", "HEAD", respondRaw("200 OK", "", ""), 200, ""},
+		{"HEAD without a length", "HEAD", respondRaw("200 OK", "", ""), 200, ""},
 		{"HEAD chunked", "HEAD", respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", ""), 200, ""},
 		{"204", "GET", respondRaw("204 No Content", "", ""), 204, ""},
 		{"204 with a length", "GET", respondRaw("204 No Content", "Content-Length: 0\r\n", ""), 204, ""},
 		{"304", "GET", respondRaw("304 Not Modified", "", ""), 304, ""},
-		{"304 with the length of what it stands for", "GET", respondRaw("304 Not Modified", "Content-Length: 5\r\n", ""), 304, ""},
+		{"304 with the length of the resource", "GET", respondRaw("304 Not Modified", "Content-Length: 5\r\n", ""), 304, ""},
 		{"205", "GET", respondRaw("205 Reset Content", "Content-Length: 0\r\n", ""), 205, ""},
 		{"status without a reason", "GET", respondRaw("299", "Content-Length: 5\r\n", "whole"), 299, "whole"},
 		{"status of four digits", "GET", respondRaw("2000 OK", "Content-Length: 5\r\n", "whole"), 502, ""},
-		{"status 101", "GET", respondThen(respondRaw("101 Switching Protocols", "Upgrade: x\r\nConnection: upgrade\r\n", ""), end), 502, ""},
-		{"as long as is kept", "GET", respondRaw("200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(long)), long), 200, long},
-		{"as long as is kept, no length", "GET", respondThen(respondRaw("200 OK", "", long), end), 200, long},
-		{"longer, no length", "GET", respondThen(respondRaw("200 OK", "", long+"more"), end), 200, long + "more"},
+		{"status 101", "GET", respondThen(respondRaw("101 Switching Protocols", "Upgrade: x\r\nConnection: upgrade\r\n", ""), closeTCP), 502, ""},
+		{"as long as the buffer", "GET", respondRaw("200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(long)), long), 200, long},
+		{"as long as the buffer, no length", "GET", respondThen(respondRaw("200 OK", "", long), closeTCP), 200, long},
+		{"longer, no length", "GET", respondThen(respondRaw("200 OK", "", long+"more"), closeTCP), 200, long + "more"},
 		{"longer, chunked", "GET", respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", chunked(long)+chunked("more")+lastChunk), 200, long + "more"},
 		{"longer, length", "GET", respondRaw("200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(long)+4), long+"more"), 200, long + "more"},
-		{"longer, cut inside the length", "GET", respondThen(respondRaw("200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(long)+5), long+"more"), end), 0, ""},
-		{"longer, chunked and cut", "GET", respondThen(respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", chunked(long)+chunked("more")), end), 0, ""},
+		{"longer, cut inside the length", "GET", respondThen(respondRaw("200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(long)+5), long+"more"), closeTCP), 0, ""},
+		{"longer, chunked and cut", "GET", respondThen(respondRaw("200 OK", "Transfer-Encoding: chunked\r\n", chunked(long)+chunked("more")), closeTCP), 0, ""},
 	}
 	for _, kind := range []routes.Kind{routes.Idempotent, routes.NonIdempotent} {
 		for _, row := range rows {
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -52,8 +52,8 @@
 	if ms, err := strconv.Atoi(h.Get(headerTimeLeft)); err == nil {
 		c.Deadline = time.Duration(ms) * time.Millisecond
 	}
-	if part := h.Get(headerSegment); part != "" {
-		c.Model, c.PromptTokens, c.Segments = "m", 100, []Segment{{ID: part, Tokens: 90}, {ID: "own", Tokens: 10}}
+	if segment := h.Get(headerSegment); segment != "" {
+		c.Model, c.PromptTokens, c.Segments = "m", 100, []Segment{{ID: segment, Tokens: 90}, {ID: "own", Tokens: 10}}
 	}
 	return c, nil
 }
@@ -306,13 +306,13 @@
 		{"rejected, then run", unsafe, 2, reject, respond(200, "a"), 200, "a", 2},
 		{"rejected by all", unsafe, 2, reject, reject, 503, "", 2},
 		{"rejected, one attempt allowed", unsafe, 1, reject, reject, 503, "", 1},
-		{"hung up", unsafe, 2, closeConn, closeConn, 502, "", 1},
-		{"hung up, may be repeated", safe, 2, closeConn, respond(200, "a"), 200, "a", 2},
+		{"connection closed", unsafe, 2, closeConn, closeConn, 502, "", 1},
+		{"connection closed, idempotent", safe, 2, closeConn, respond(200, "a"), 200, "a", 2},
 		{"torn", unsafe, 2, truncated, truncated, 502, "", 1},
-		{"torn, may be repeated", safe, 2, truncated, respond(200, "a"), 200, "a", 2},
-		{"another's answer", unsafe, 2, foreign, foreign, 502, "", 1},
+		{"torn, idempotent", safe, 2, truncated, respond(200, "a"), 200, "a", 2},
+		{"answer to another request", unsafe, 2, foreign, foreign, 502, "", 1},
 		{"failed", unsafe, 2, respond(500, "sorry"), respond(500, "sorry"), 500, "sorry", 1},
-		{"failed, may be repeated", safe, 2, respond(500, "sorry"), respond(200, "a"), 200, "a", 2},
+		{"failed, idempotent", safe, 2, respond(500, "sorry"), respond(200, "a"), 200, "a", 2},
 		{"failed twice", safe, 2, respond(500, "sorry"), respond(500, "sorry"), 500, "sorry", 2},
 		{"failed, then rejected", safe, 2, respond(500, "sorry"), reject, 500, "sorry", 2},
 		{"broken, then rejected", safe, 2, closeConn, reject, 502, "", 2},
@@ -322,8 +322,8 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			play := firstThen(row.first, row.second)
-			s := newTestServer(t, singleRoute(row.kind, row.attempts), play, play)
+			answer := firstThen(row.first, row.second)
+			s := newTestServer(t, singleRoute(row.kind, row.attempts), answer, answer)
 			resp, body, err := s.do(s.newRequest("POST", "/r/x", "order"))
 			if err != nil || resp.StatusCode != row.status {
 				t.Fatalf("got %v, error %v; want the row's status", resp, err)
@@ -349,10 +349,10 @@
 // would be appended to the first.
 func TestTruncatedLongAnswerIsNotRetried(t *testing.T) {
 	long := strings.Repeat("a", 2*maxBufferedBytes)
-	torn := func(c net.Conn, r *http.Request) {
+	truncated := func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", headerID, r.Header.Get(headerID), len(long)+1, long)
 	}
-	s := newTestServer(t, singleRoute(routes.Idempotent, 2), torn, torn)
+	s := newTestServer(t, singleRoute(routes.Idempotent, 2), truncated, truncated)
 	_, body, err := s.do(s.newRequest("GET", "/r/x", ""))
 	if err == nil || len(body) > len(long) || s.requestCount() != 1 {
 		t.Errorf("got %d bytes, error %v, %d requests; want an error, no more bytes than were sent and 1 request", len(body), err, s.requestCount())
@@ -389,9 +389,9 @@
 		{"whole", false, respondStream(lastChunk, "1", "2"), nil, "1 2", false, ""},
 		{"cut between events", true, respondStream("", "1", "2"), respondStream(lastChunk, "3"), "1 2 3", false, "2"},
 		{"cut inside an event", true, respondStream("8\r\nid: 3\nda\r\n", "1", "2"), respondStream(lastChunk, "3"), "1 2 3", false, "2"},
-		{"the second repeats what is there", true, respondStream("", "1", "2"), respondStream(lastChunk, "2", "3"), "1 2 3", false, "2"},
+		{"the second repeats an event", true, respondStream("", "1", "2"), respondStream(lastChunk, "2", "3"), "1 2 3", false, "2"},
 		{"cut before the first event", true, respondStream(""), respondStream(lastChunk, "1"), "1", false, ""},
-		{"cut, may not go on", false, respondStream("", "1", "2"), respondStream(lastChunk, "3"), "1 2", true, ""},
+		{"cut, not resumable", false, respondStream("", "1", "2"), respondStream(lastChunk, "3"), "1 2", true, ""},
 		{"ended inside an event", false, respondStream("8\r\nid: 3\nda\r\n0\r\n\r\n", "1"), nil, "1", true, ""},
 		{"the second fails", true, respondStream("", "1"), respond(500, "sorry"), "1", true, "1"},
 	}
@@ -399,24 +399,24 @@
 		t.Run(row.name, func(t *testing.T) {
 			var mu sync.Mutex
 			n := 0
-			play := func(c net.Conn, r *http.Request) {
+			answerNext := func(c net.Conn, r *http.Request) {
 				mu.Lock()
 				n++
-				part := row.first
+				answer := row.first
 				if n > 1 {
-					part = row.second
+					answer = row.second
 					if got := r.Header.Get(headerLastEvent); got != row.last {
 						t.Errorf("the second attempt resumes after event %q, want %q", got, row.last)
 					}
 				}
 				mu.Unlock()
-				if part != nil {
-					part(c, r)
+				if answer != nil {
+					answer(c, r)
 				}
 			}
 			list := singleRoute(routes.Streaming, 2)
 			list[0].Resumable = row.resumable
-			s := newTestServer(t, list, play, play)
+			s := newTestServer(t, list, answerNext, answerNext)
 			resp, body, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 			if resp == nil || resp.StatusCode != 200 || resp.Header.Get("Stamp") != "200" {
 				t.Fatalf("got %v, error %v; want the endpoint's status 200", resp, err)
--- a/internal/coordination/gateway/ingress_test.go
+++ b/internal/coordination/gateway/ingress_test.go
@@ -75,7 +75,7 @@
 		{"a body that is too long", head[:20], head[20:] + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(long), long), routes.Limits{BodyBytes: 10}, http.StatusRequestEntityTooLarge},
 		{"chunks that are too many", head[:20], head[20:] + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(long), long), routes.Limits{BodyBytes: 10}, http.StatusRequestEntityTooLarge},
 		{"a body that was begun before", head + "Content-Length: 5\r\n\r\nor", "der", routes.Limits{BodyBytes: 2, HeaderBytes: 60}, http.StatusOK},
-		{"no time any more", head[:20], head[20:] + "Content-Length: 5\r\n\r\norder", routes.Limits{HeaderTimeout: time.Nanosecond, IdleTimeout: time.Nanosecond}, http.StatusOK},
+		{"timeouts that have expired", head[:20], head[20:] + "Content-Length: 5\r\n\r\norder", routes.Limits{HeaderTimeout: time.Nanosecond, IdleTimeout: time.Nanosecond}, http.StatusOK},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -112,8 +112,8 @@
 		status int
 	}{
 		{"answered", routes.NonIdempotent, respond(200, "a"), 200},
-		{"failed, may be repeated", routes.Idempotent, respond(500, "sorry"), 500},
-		{"broken, may be repeated", routes.Idempotent, closeConn, 502},
+		{"failed, idempotent", routes.Idempotent, respond(500, "sorry"), 500},
+		{"broken, idempotent", routes.Idempotent, closeConn, 502},
 		{"broken", routes.NonIdempotent, closeConn, 502},
 		{"rejected", routes.NonIdempotent, reject, 503},
 		{"a stream", routes.Streaming, respondStream(lastChunk, "1"), 200},
@@ -157,9 +157,9 @@
 		{"a body that comes later", head + length + "or", "der", 1},
 		{"chunks", head + chunked + "5\r\norder\r\n0\r\n\r\n", "", 1},
 		{"chunks that come later", head + chunked + "5\r\nor", "der\r\n0\r\n\r\n", 1},
-		{"the next request behind", head + length + "order" + head + length + "order", "", 2},
+		{"the next request pipelined", head + length + "order" + head + length + "order", "", 2},
 		{"the next request later", head + length + "order", head + length + "order", 2},
-		{"a part of the next request", head + length + "order", head[:10], 1},
+		{"the start of the next request", head + length + "order", head[:10], 1},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
