--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -58,14 +58,14 @@
 	return c, nil
 }
 
-func (testCodec) EncodeAttempt(h http.Header, s Attempt) {
+func (testCodec) EncodeAttempt(h http.Header, a Attempt) {
 	h.Del(headerKey)
-	h.Set(headerInstance, s.Instance)
-	h.Set(headerCustomer, s.Customer)
-	h.Set(headerLastEvent, s.LastEvent)
-	h.Set(headerTimeLeft, strconv.FormatInt(s.TimeLeft.Milliseconds(), 10))
-	h.Set(headerWeights, strconv.FormatInt(s.Weights, 10))
-	h.Set(headerContinueFrom, s.ContinueFrom)
+	h.Set(headerInstance, a.Instance)
+	h.Set(headerCustomer, a.Customer)
+	h.Set(headerLastEvent, a.LastEvent)
+	h.Set(headerTimeLeft, strconv.FormatInt(a.TimeLeft.Milliseconds(), 10))
+	h.Set(headerWeights, strconv.FormatInt(a.Weights, 10))
+	h.Set(headerContinueFrom, a.ContinueFrom)
 }
 
 func (testCodec) DecodeReply(status int, h http.Header) Reply {
@@ -115,8 +115,8 @@
 	state := discovery.NewState(fleet.Member{ID: "self", Incarnation: 1, Version: 1, Domain: "a"}, log, time.Now(), func(*routes.Table) {})
 	state.SetRoutes(routes.New(1, 1, list, []routes.Service{{Name: "s"}}, []routes.Customer{{Name: "club", Keys: []string{"key"}}},
 		routes.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20}))
-	for i, script := range answers {
-		e := s.startEndpoint(fmt.Sprint("i-", i), script)
+	for i, answer := range answers {
+		e := s.startEndpoint(fmt.Sprint("i-", i), answer)
 		state.SetInstance(discovery.Instance{ID: e.id, Revision: uint64(i + 2), Service: "s", Address: e.address, Domain: "a", Slots: 4})
 		s.endpoints = append(s.endpoints, e)
 	}
@@ -203,9 +203,9 @@
 // firstThen answers the first request with first, whichever endpoint it reaches, and all later requests
 // with second.
 func firstThen(first, second responder) responder {
-	var begun atomic.Bool
+	var used atomic.Bool
 	return func(c net.Conn, r *http.Request) {
-		if begun.Swap(true) {
+		if used.Swap(true) {
 			second(c, r)
 			return
 		}
@@ -235,7 +235,7 @@
 	return req
 }
 
-// do sends a request and reads the whole answer. It returns the body read so far also with an error.
+// do sends a request and reads the whole answer. If that fails midway, it returns what it has read.
 func (s *testServer) do(req *http.Request) (*http.Response, string, error) {
 	resp, err := s.server.Client().Do(req)
 	if err != nil {
--- a/internal/coordination/gateway/ingress_test.go
+++ b/internal/coordination/gateway/ingress_test.go
@@ -108,7 +108,7 @@
 	rows := []struct {
 		name   string
 		kind   routes.Kind
-		last   responder
+		answer responder
 		status int
 	}{
 		{"answered", routes.NonIdempotent, respond(200, "a"), 200},
@@ -125,7 +125,7 @@
 			s := newTestServer(t, singleRoute(row.kind, 2), func(c net.Conn, r *http.Request) {
 				close(reached)
 				<-proceed
-				row.last(c, r)
+				row.answer(c, r)
 			})
 			server, c, r := s.serveIngress()
 			fmt.Fprintf(c, "POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\nContent-Length: 5\r\n\r\norder", headerID, headerKey)
