--- a/internal/coordination/gateway/ending.go
+++ b/internal/coordination/gateway/ending.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	// retryAfterMin and retryAfterJitter set the Retry-After when a service is full: about
-	// the time of one short run, with jitter so that callers don't all return together.
+	// retryAfterMin and retryAfterJitter set the Retry-After for a request that no endpoint ran:
+	// a full service has free capacity again after about one short run, and the jitter keeps
+	// callers from all returning together.
 	retryAfterMin    = 200 * time.Millisecond
 	retryAfterJitter = 400 * time.Millisecond
 )
--- a/internal/coordination/gateway/requestlog.go
+++ b/internal/coordination/gateway/requestlog.go
@@ -26,7 +26,8 @@
 	// TookMS is the duration of the attempt, FirstMS the time to its first event.
 	TookMS  int64 `json:"took_ms"`
 	FirstMS int64 `json:"first_ms,omitempty"`
-	// ExpectedMS is the predicted time to the first event, CachedTokens the predicted cache hits.
+	// ExpectedMS is the predicted time to the first event, CachedTokens the prompt tokens that
+	// were expected to be in the endpoint's cache.
 	ExpectedMS   int64 `json:"expected_ms"`
 	CachedTokens int   `json:"cached_tokens,omitempty"`
 	// Imported lists the addresses to import context from, Saved those to save it to.
--- a/internal/coordination/gateway/stream.go
+++ b/internal/coordination/gateway/stream.go
@@ -137,7 +137,8 @@
 }
 
 // writeStreamHead writes the status and header to the caller unless that is done already. It is called
-// with the first event: until then, another endpoint may still be tried from scratch.
+// with the first event, or at the end of an empty stream: until then, another endpoint may still be tried
+// from scratch.
 func (x *exchange) writeStreamHead(resp *upstream.Response) {
 	if x.headWritten {
 		return
