--- a/internal/coordination/contextcache/capacity_test.go
+++ b/internal/coordination/contextcache/capacity_test.go
@@ -39,7 +39,7 @@
 		k.SetStores(services)
 		k.SetEngines(map[string]Engine{"10.0.2.1:1": {TokenBytes: tokenBytes}})
 		for address, s := range k.stores {
-			k.takeListing(address, Listing{Epoch: 1, Complete: map[SegmentKey]SegmentInfo{}}, c.now)
+			k.applyListing(address, Listing{Epoch: 1, Complete: map[SegmentKey]SegmentInfo{}}, c.now)
 			room[address] = s.config.MemoryTokens
 		}
 		keepers = append(keepers, k)
@@ -53,7 +53,7 @@
 				if len(told[c.now][address]) == 0 && n%hearEvery != 0 {
 					continue
 				}
-				k.takeEvents(address, Events{Epoch: 1, ClockMS: c.now.UnixMilli(), Changes: told[c.now][address]}, c.now)
+				k.applyEvents(address, Events{Epoch: 1, ClockMS: c.now.UnixMilli(), Changes: told[c.now][address]}, c.now)
 			}
 		}
 		id := fmt.Sprint("p", n)
--- a/internal/coordination/contextcache/engines.go
+++ b/internal/coordination/contextcache/engines.go
@@ -17,33 +17,33 @@
 const (
 	// engineWait is the longest that an engine holds a call for events.
 	engineWait = time.Second
-	// engineFresh is how long an engine's last word is used. Nothing rests on it: a
+	// engineFreshFor is how long an engine's last word is used. Nothing rests on it: a
 	// part that is gone costs a millisecond, and is read.
-	engineFresh = 3 * time.Second
+	engineFreshFor = 3 * time.Second
 	// startSpread is the time over which a process begins to follow engines, one
 	// after the other: each tells all that it remembers at first, 4,000 events, and
 	// reading them all at once would take a starting process's whole processor for
 	// most of a second while callers wait.
 	startSpread = 4 * time.Second
-	// smallFleet is the number of engines up to which all are followed, and from the
+	// maxFullyFollowed is the number of engines up to which all are followed, and from the
 	// oldest event that they remember. In a larger one a process follows those of its own
 	// failure domain, whom it sends most, and from now on: events of 55 engines are 1 Mbit/s,
 	// and what these remember is 13 MB, ten seconds of a small host's link of 10 Mbit/s,
 	// while what an engine keeps is replaced within seconds.
-	smallFleet = 16
-	// mostFollowed engines are followed by one process, others by each: with 100 gateways before
+	maxFullyFollowed = 16
+	// maxFollowed engines are followed by one process, others by each: with 100 gateways before
 	// 1,000 engines, 333 of them near, following all took 39% of a host's processor and 131 KB/s,
 	// and 64 take 21% and 56 KB/s. What the others keep is known by what this process itself
 	// has sent them.
-	mostFollowed = 64
+	maxFollowed = 64
 	// fromNow is beyond the number of any event: an engine answers that some are missing
 	// and tells its newest number.
 	fromNow = int64(1) << 50
-	// enginePause follows a failed call, farPause the refusal by an engine of another
+	// engineRetryDelay follows a failed call, farPause the refusal by an engine of another
 	// failure domain that holds as many calls as it takes. In a large fleet its own
 	// domain's processes, who send it most, are to find room.
-	enginePause = 4 * time.Second
-	farPause    = time.Minute
+	engineRetryDelay = 4 * time.Second
+	remoteRetryDelay = time.Minute
 )
 
 // ErrTooManyCalls tells that an engine holds as many calls as it takes.
@@ -66,80 +66,80 @@
 }
 
 // SetEngines tells the engines whose memory is followed, by address.
-func (k *Tracker) SetEngines(engines map[string]Engine) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (t *Tracker) SetEngines(engines map[string]Engine) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for address, e := range engines {
-		if k.engines[address] == nil {
-			k.engines[address] = newStore(routes.Store{Address: address, Domain: e.Domain, LinkBytesPerSecond: e.LinkBytesPerSecond})
+		if t.engines[address] == nil {
+			t.engines[address] = newStore(routes.Store{Address: address, Domain: e.Domain, LinkBytesPerSecond: e.LinkBytesPerSecond})
 			// Engines are not listed.
-			k.engines[address].listed = true
-			k.wake()
+			t.engines[address].listed = true
+			t.wake()
 		}
-		k.tokenBytes = max(k.tokenBytes, e.TokenBytes)
+		t.tokenBytes = max(t.tokenBytes, e.TokenBytes)
 	}
-	for address := range k.engines {
+	for address := range t.engines {
 		if _, still := engines[address]; !still {
-			delete(k.engines, address)
-			k.wake()
+			delete(t.engines, address)
+			t.wake()
 		}
 	}
 }
 
-// firstEvent is the number from which an engine's events are followed: where others have
+// firstEngineEvent is the number from which an engine's events are followed: where others have
 // told of it, the next one.
-func (k *Tracker) firstEvent(address string) int64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if e := k.engines[address]; e != nil && e.known && e.next > 0 {
+func (t *Tracker) firstEngineEvent(address string) int64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if e := t.engines[address]; e != nil && e.known && e.next > 0 {
 		return e.next
 	}
-	if len(k.engines) > smallFleet {
+	if len(t.engines) > maxFullyFollowed {
 		return fromNow
 	}
 	return 0
 }
 
 // followedEngines lists the engines whose memory this process follows itself; k.mu is held.
-func (k *Tracker) followedEngines(now time.Time) []string {
+func (t *Tracker) followedEngines(now time.Time) []string {
 	var near, all []string
-	for address, e := range k.engines {
+	for address, e := range t.engines {
 		all = append(all, address)
-		if e.config.Domain == k.Domain {
+		if e.config.Domain == t.Domain {
 			near = append(near, address)
 		}
 	}
-	if len(all) <= smallFleet {
+	if len(all) <= maxFullyFollowed {
 		return all
 	}
 	if len(near) == 0 {
 		near = all
 	}
 	near = slices.DeleteFunc(near, func(address string) bool {
-		return !k.follows(address, k.engines[address], engineUntold, now)
+		return !t.shouldFollow(address, t.engines[address], engineReportTimeout, now)
 	})
-	if len(near) > mostFollowed {
-		sort.Slice(near, func(a, b int) bool { return k.followRank(near[a]) < k.followRank(near[b]) })
-		for _, address := range near[mostFollowed:] {
-			delete(k.telling, address)
+	if len(near) > maxFollowed {
+		sort.Slice(near, func(a, b int) bool { return t.followRank(near[a]) < t.followRank(near[b]) })
+		for _, address := range near[maxFollowed:] {
+			delete(t.reporting, address)
 		}
-		near = near[:mostFollowed]
+		near = near[:maxFollowed]
 	}
 	return near
 }
 
 // followRank orders engines differently in each process, and nearly the same when some
 // come or go.
-func (k *Tracker) followRank(address string) uint64 { return rank(k.Self, address) }
+func (t *Tracker) followRank(address string) uint64 { return processRank(t.Self, address) }
 
-// resident lists the engines that keep the beginning of a prompt; k.mu is held.
-func (k *Tracker) resident(salt string, parts []Segment, now time.Time) []ResidentPrefix {
+// residentEngines lists the engines that keep the beginning of a prompt; k.mu is held.
+func (t *Tracker) residentEngines(salt string, segments []Segment, now time.Time) []ResidentPrefix {
 	var out []ResidentPrefix
-	for address, e := range k.engines {
-		if !e.known || now.Sub(e.heard) > engineFresh {
+	for address, e := range t.engines {
+		if !e.known || now.Sub(e.lastAnswer) > engineFreshFor {
 			continue
 		}
-		if r := e.resident(salt, parts); r.Segments > 0 {
+		if r := e.residentPrefix(salt, segments); r.Segments > 0 {
 			r.Address = address
 			out = append(out, r)
 		}
@@ -147,15 +147,15 @@
 	return out
 }
 
-// informed decides Contents.Informed; k.mu is held.
-func (k *Tracker) informed(now time.Time) bool {
+// enginesKnown decides Contents.Informed; k.mu is held.
+func (t *Tracker) enginesKnown(now time.Time) bool {
 	known, near, knownNear := 0, 0, 0
-	for _, e := range k.engines {
-		fresh := e.known && now.Sub(e.heard) <= engineFresh
+	for _, e := range t.engines {
+		fresh := e.known && now.Sub(e.lastAnswer) <= engineFreshFor
 		if fresh {
 			known++
 		}
-		if e.config.Domain == k.Domain {
+		if e.config.Domain == t.Domain {
 			near++
 			if fresh {
 				knownNear++
@@ -163,106 +163,106 @@
 		}
 	}
 	if near == 0 {
-		return known > 0 && 2*known >= len(k.engines)
+		return known > 0 && 2*known >= len(t.engines)
 	}
 	return knownNear > 0 && 2*knownNear >= near
 }
 
-func (s *store) resident(salt string, parts []Segment) ResidentPrefix {
+func (s *store) residentPrefix(salt string, segments []Segment) ResidentPrefix {
 	var r ResidentPrefix
-	for _, p := range parts {
-		if !s.holds(SegmentKey{salt, p.ID}, p.Tokens) {
+	for _, segment := range segments {
+		if !s.holds(SegmentKey{salt, segment.ID}, segment.Tokens) {
 			break
 		}
 		r.Segments++
-		r.Tokens += p.Tokens
+		r.Tokens += segment.Tokens
 	}
 	return r
 }
 
 // followEngine follows an engine's events from the oldest it still has. It is
 // never listed: that would stall its work.
-func (k *Tracker) followEngine(ctx context.Context, address string) {
-	next := k.firstEvent(address)
+func (t *Tracker) followEngine(ctx context.Context, address string) {
+	next := t.firstEngineEvent(address)
 	if !pause.For(ctx, time.Duration(rand.Int64N(int64(startSpread)))) {
 		return
 	}
-	p := pace{usual: engineWait}
-	for p.rest(ctx) {
-		call, cancel := context.WithTimeout(ctx, p.wait()+callMargin)
-		events, err := k.Client.Events(call, address, next, p.wait())
+	p := pollPace{maxWait: engineWait}
+	for p.pauseBeforeCall(ctx) {
+		call, cancel := context.WithTimeout(ctx, p.callWait()+callMargin)
+		events, err := t.Client.Events(call, address, next, p.callWait())
 		cancel()
 		if err == nil {
-			next = k.takeEngineEvents(address, events)
-			k.tellStart(address, events.StartMS)
+			next = t.applyEngineEvents(address, events)
+			t.reportEngineStart(address, events.StartMS)
 			continue
 		}
 		if ctx.Err() != nil {
 			// Others tell of it from now on.
 			return
 		}
-		p.crowded = p.crowded || errors.Is(err, ErrTooManyCalls)
-		if wait := k.afterFailure(address, err); wait > 0 && !pause.For(ctx, pause.Jitter(wait)) {
+		p.saturated = p.saturated || errors.Is(err, ErrTooManyCalls)
+		if wait := t.handleEngineFailure(address, err); wait > 0 && !pause.For(ctx, pause.Jitter(wait)) {
 			return
 		}
 	}
 }
 
-// afterFailure says how long to wait before an engine is asked again, beside its
+// handleEngineFailure says how long to wait before an engine is asked again, beside its
 // pace. An engine of this domain that holds too many calls is only asked less; of
 // one that does not answer nothing is used any more.
-func (k *Tracker) afterFailure(address string, err error) time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	e := k.engines[address]
+func (t *Tracker) handleEngineFailure(address string, err error) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e := t.engines[address]
 	if e == nil {
-		return enginePause
+		return engineRetryDelay
 	}
 	if errors.Is(err, ErrTooManyCalls) {
-		if e.config.Domain != k.Domain {
-			return farPause
+		if e.config.Domain != t.Domain {
+			return remoteRetryDelay
 		}
 		return 0
 	}
 	if e.known {
 		e.known = false
-		k.Log.Info("engine's memory is not known", zap.String("address", address), zap.Error(err))
+		t.Log.Info("engine's memory is not known", zap.String("address", address), zap.Error(err))
 	}
-	return enginePause
+	return engineRetryDelay
 }
 
-// tellStart passes on that an engine has told of another start than before.
-func (k *Tracker) tellStart(address string, born int64) {
-	k.mu.Lock()
-	e := k.engines[address]
-	news := e != nil && born != 0 && e.born != born
-	if news {
-		e.born = born
+// reportEngineStart passes on that an engine has told of another start than before.
+func (t *Tracker) reportEngineStart(address string, startMS int64) {
+	t.mu.Lock()
+	e := t.engines[address]
+	changed := e != nil && startMS != 0 && e.startMS != startMS
+	if changed {
+		e.startMS = startMS
 	}
-	k.mu.Unlock()
-	if news && k.OnEngineStart != nil {
-		k.OnEngineStart(address, born)
+	t.mu.Unlock()
+	if changed && t.OnEngineStart != nil {
+		t.OnEngineStart(address, startMS)
 	}
 }
 
-func (k *Tracker) takeEngineEvents(address string, events Events) (next int64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	e := k.engines[address]
+func (t *Tracker) applyEngineEvents(address string, events Events) (next int64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e := t.engines[address]
 	if e == nil {
 		return 0
 	}
-	now := k.Now()
+	now := t.Now()
 	if events.ClockMS > 0 {
-		k.takeClock(events.ClockMS, now)
+		t.observeClock(events.ClockMS, now)
 	}
 	if e.epoch != events.Epoch || events.Lost {
-		e.load(Listing{Epoch: events.Epoch, Next: events.Next, Complete: map[SegmentKey]SegmentInfo{}}, now)
+		e.loadListing(Listing{Epoch: events.Epoch, Next: events.Next, Complete: map[SegmentKey]SegmentInfo{}}, now)
 		events.Lost = false
 	}
 	// After a failed call the events go on where they stopped.
 	e.known = true
-	e.apply(events, now)
-	k.keepUntold(address, e, events.Changes)
+	e.applyEvents(events, now)
+	t.queueUnsent(address, e, events.Changes)
 	return e.next
 }
--- a/internal/coordination/contextcache/plan.go
+++ b/internal/coordination/contextcache/plan.go
@@ -16,16 +16,16 @@
 }
 
 const (
-	// importTime is the longest that an import may take; one that is not complete in its
+	// maxImportTime is the longest that an import may take; one that is not complete in its
 	// time is thrown away by the engine, which reads the prompt. A store's parts are freed
 	// only later than that.
-	importTime = 1500 * time.Millisecond
-	// importShare of a prompt's objective goes to an import at most; the rest is for
+	maxImportTime = 1500 * time.Millisecond
+	// maxImportShare of a prompt's objective goes to an import at most; the rest is for
 	// waiting and reading, which may be needed after all.
-	importShare = 0.5
+	maxImportShare = 0.5
 )
 
-// importWithin is how long after it was sent a prompt's import may end, given the time
+// importTimeout is how long after it was sent a prompt's import may end, given the time
 // within which its first token is on time (0 if none is asked for).
 //
 // A link may turn slow, or be asked for more than it carries. With one store's link at a
@@ -33,18 +33,18 @@
 // fifths of all answers late. With half of objectives of 500 and 600 ms 0.02 more of all
 // requests were served on days with such a link; with 150 ms twice as many tokens were
 // read again, and with 400 ms a little more came late.
-func importWithin(objective time.Duration) time.Duration {
+func importTimeout(objective time.Duration) time.Duration {
 	if objective <= 0 {
-		return importTime
+		return maxImportTime
 	}
-	return min(importTime, time.Duration(importShare*float64(objective)))
+	return min(maxImportTime, time.Duration(maxImportShare*float64(objective)))
 }
 
 // LookupResult is what stores and engines hold of a prompt.
 type LookupResult struct {
-	// Imports tells of each part whether it can be brought to an engine, and from where
+	// Segments tells of each part whether it can be brought to an engine, and from where
 	// Plan would bring it.
-	Imports []routing.Segment
+	Segments []routing.Segment
 	// Resident lists the engines that keep the beginning.
 	Resident []ResidentPrefix
 	// EnginesKnown tells whether the memory of most engines of this failure domain is known, so
@@ -54,30 +54,30 @@
 }
 
 // Lookup looks a prompt up in all stores and engines.
-func (k *Tracker) Lookup(salt string, parts []Segment) LookupResult {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.Now()
-	c := LookupResult{Resident: k.resident(salt, parts, now), EnginesKnown: k.informed(now)}
-	c.Imports = k.imports(salt, parts, c.Resident, now)
-	return c
+func (t *Tracker) Lookup(salt string, segments []Segment) LookupResult {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.Now()
+	result := LookupResult{Resident: t.residentEngines(salt, segments, now), EnginesKnown: t.enginesKnown(now)}
+	result.Segments = t.segmentSources(salt, segments, result.Resident, now)
+	return result
 }
 
-// imports needs k.mu.
-func (k *Tracker) imports(salt string, parts []Segment, resident []ResidentPrefix, now time.Time) []routing.Segment {
-	out := make([]routing.Segment, 0, len(parts))
-	_, engine := holders(resident, "")
-	for n, p := range parts {
-		out = append(out, routing.Segment{Tokens: p.Tokens})
-		if !k.clockKnown {
+// segmentSources needs k.mu.
+func (t *Tracker) segmentSources(salt string, segments []Segment, resident []ResidentPrefix, now time.Time) []routing.Segment {
+	out := make([]routing.Segment, 0, len(segments))
+	_, engine := splitByTarget(resident, "")
+	for i, segment := range segments {
+		out = append(out, routing.Segment{Tokens: segment.Tokens})
+		if !t.clockOffsetKnown {
 			continue
 		}
-		source := k.engines[engine.Address]
-		if n >= engine.Segments {
-			source = k.stores[k.holderOf(SegmentKey{salt, p.ID}, p.Tokens, now)]
+		source := t.engines[engine.Address]
+		if i >= engine.Segments {
+			source = t.stores[t.findStore(SegmentKey{salt, segment.ID}, segment.Tokens, now)]
 		}
 		if source != nil {
-			out[n].Stored, out[n].Domain, out[n].TransferTime = true, source.config.Domain, source.transfer(p.Tokens, k.tokenBytes)
+			out[i].Stored, out[i].Domain, out[i].TransferTime = true, source.config.Domain, source.transferTime(segment.Tokens, t.tokenBytes)
 		}
 	}
 	return out
@@ -103,39 +103,39 @@
 // than its events come, and a first part that is gone makes it read all behind, imports
 // included. With 12 engines whose running requests fill most of 52,000 tokens, shared
 // tokens read again fell from 3.1 to 0.4 million of 8.8 on the heaviest day.
-func (k *Tracker) Plan(salt, context string, parts []Segment, target string, objective time.Duration) Plan {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.Now()
-	p := Plan{ImportFrom: make([]string, len(parts)), SaveTo: make([]string, len(parts))}
-	if !k.clockKnown {
+func (t *Tracker) Plan(salt, context string, segments []Segment, target string, objective time.Duration) Plan {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.Now()
+	p := Plan{ImportFrom: make([]string, len(segments)), SaveTo: make([]string, len(segments))}
+	if !t.clockOffsetKnown {
 		return p
 	}
-	p.ImportDeadline = now.Add(importWithin(objective)).UnixMilli() + k.clock
-	own, other := holders(k.resident(salt, parts, now), target)
-	unbroken := true
-	for i, part := range parts {
-		key := SegmentKey{salt, part.ID}
-		holder := k.holderOf(key, part.Tokens, now)
-		if holder != "" && unbroken {
-			p.StoredTokens += part.Tokens
+	p.ImportDeadline = now.Add(importTimeout(objective)).UnixMilli() + t.clockOffset
+	own, other := splitByTarget(t.residentEngines(salt, segments, now), target)
+	contiguous := true
+	for i, segment := range segments {
+		key := SegmentKey{salt, segment.ID}
+		holder := t.findStore(key, segment.Tokens, now)
+		if holder != "" && contiguous {
+			p.StoredTokens += segment.Tokens
 		} else {
-			unbroken = false
+			contiguous = false
 		}
 		p.ImportFrom[i] = holder
 		if i < other.Segments && (i >= own || holder == "") {
 			p.ImportFrom[i] = other.Address
 		}
 		if holder == "" {
-			p.SaveTo[i] = k.keep(key, context, part.Tokens, now)
+			p.SaveTo[i] = t.chooseSaveStore(key, context, segment.Tokens, now)
 		}
 	}
 	return p
 }
 
-// holders tells how many of a prompt's first parts the target keeps, and which other
+// splitByTarget tells how many of a prompt's first parts the target keeps, and which other
 // engine keeps most.
-func holders(resident []ResidentPrefix, target string) (own int, other ResidentPrefix) {
+func splitByTarget(resident []ResidentPrefix, target string) (own int, other ResidentPrefix) {
 	for _, r := range resident {
 		switch {
 		case r.Address == target:
@@ -147,42 +147,42 @@
 	return own, other
 }
 
-// holderOf finds a store that holds a part, one of this failure domain first.
-func (k *Tracker) holderOf(key SegmentKey, tokens int, now time.Time) string {
+// findStore finds a store that holds a part, one of this failure domain first.
+func (t *Tracker) findStore(key SegmentKey, tokens int, now time.Time) string {
 	best := ""
-	for address, s := range k.stores {
+	for address, s := range t.stores {
 		if !s.usable(now) || !s.holds(key, tokens) {
 			continue
 		}
-		if best == "" || s.config.Domain == k.Domain {
+		if best == "" || s.config.Domain == t.Domain {
 			best = address
 		}
 	}
 	return best
 }
 
-// keep picks the store that a part is saved in, "" for none: all processes choose the
+// chooseSaveStore picks the store that a part is saved in, "" for none: all processes choose the
 // same, by a hash of the context, in proportion to the stores' links. A full one is
 // followed by the next in its order.
-func (k *Tracker) keep(key SegmentKey, context string, tokens int, now time.Time) string {
-	best, bestRank := "", 0.0
-	for address, s := range k.stores {
-		if !s.usable(now) || s.holds(key, 1) || !s.hasRoom(key, tokens, now) {
+func (t *Tracker) chooseSaveStore(key SegmentKey, context string, tokens int, now time.Time) string {
+	best, bestScore := "", 0.0
+	for address, s := range t.stores {
+		if !s.usable(now) || s.holds(key, 1) || !s.hasCapacity(key, tokens, now) {
 			continue
 		}
-		rank := rendezvous(address, context, s.saveWeight(k.tokenBytes))
-		if best == "" || rank > bestRank {
-			best, bestRank = address, rank
+		score := rendezvousScore(address, context, s.saveWeight(t.tokenBytes))
+		if best == "" || score > bestScore {
+			best, bestScore = address, score
 		}
 	}
-	if best == "" || !k.stores[best].maySave(key, tokens, now) {
+	if best == "" || !t.stores[best].tryBeginSave(key, tokens, now) {
 		return ""
 	}
 	return best
 }
 
-// rendezvous ranks a store for a context by weighted highest random weight.
-func rendezvous(address, context string, weight float64) float64 {
+// rendezvousScore ranks a store for a context by weighted highest random weight.
+func rendezvousScore(address, context string, weight float64) float64 {
 	const unit = 1.0 / (1 << 53)
 	u := (float64(xxhash.Sum64String(address+"\x00"+context)>>11) + 0.5) * unit
 	return weight / -math.Log(u)
--- a/internal/coordination/contextcache/reports_test.go
+++ b/internal/coordination/contextcache/reports_test.go
@@ -240,7 +240,7 @@
 	word := Report{Address: near, Epoch: 7, AsOf: endpointsTime(c.now), Next: 3, Changes: []Change{added("s", "p1", 500)}}
 	c.now = c.now.Add(3 * time.Second)
 	// So does an answer of an endpoint, which makes its clock look behind.
-	k.takeClock(endpointsTime(c.now)-3000, c.now)
+	k.observeClock(endpointsTime(c.now)-3000, c.now)
 	k.ApplyReport(word)
 	if k.stored("s", parts) != 0 {
 		t.Error("a word of three seconds ago is taken for fresh")
@@ -273,7 +273,7 @@
 	if k.followers()[near] == nil {
 		t.Error("not listed")
 	}
-	if k.forget(near, errors.New("reset")); k.stored("s", parts) != 0 {
+	if k.markUnreachable(near, errors.New("reset")); k.stored("s", parts) != 0 {
 		t.Error("used before it is listed")
 	}
 }
--- a/internal/coordination/contextcache/store.go
+++ b/internal/coordination/contextcache/store.go
@@ -56,36 +56,36 @@
 }
 
 const (
-	// freshFor is how long after a store's last word it may be named as a source.
+	// storeFreshFor is how long after a store's last word it may be named as a source.
 	// Shorter than any restart of a store takes: what it said in its life before is
 	// never used in the next.
-	freshFor = time.Second
-	// pendingFor is how long a save that was asked for counts as underway.
-	pendingFor = 3 * time.Second
-	// roomShare of a store's memory is filled by saves that are asked for; several
+	storeFreshFor = time.Second
+	// pendingSaveTimeout is how long a save that was asked for counts as underway.
+	pendingSaveTimeout = 3 * time.Second
+	// maxFillShare of a store's memory is filled by saves that are asked for; several
 	// processes ask at once.
-	roomShare = 0.97
+	maxFillShare = 0.97
 )
 
 // store is what this process knows of one store.
 type store struct {
-	config routes.Store
-	known  bool
-	epoch  int64
-	next   int64
-	whole  map[SegmentKey]SegmentInfo
+	config   routes.Store
+	known    bool
+	epoch    int64
+	next     int64
+	complete map[SegmentKey]SegmentInfo
 	// reserved is what partial parts keep.
 	reserved int
 	used     int
-	// born is the teller's start as it last said.
-	born int64
-	// heard is when the store last answered, by a clock that goes on while the host
+	// startMS is the teller's start as it last said.
+	startMS int64
+	// lastAnswer is when the store last answered, by a clock that goes on while the host
 	// is suspended.
-	heard time.Time
+	lastAnswer time.Time
 	// pending saves, with when they were asked for and their tokens.
 	pending       map[SegmentKey]pendingSave
 	pendingTokens int
-	sharing
+	reportState
 }
 
 type pendingSave struct {
@@ -94,13 +94,13 @@
 }
 
 func newStore(c routes.Store) *store {
-	return &store{config: c, whole: map[SegmentKey]SegmentInfo{}, pending: map[SegmentKey]pendingSave{}}
+	return &store{config: c, complete: map[SegmentKey]SegmentInfo{}, pending: map[SegmentKey]pendingSave{}}
 }
 
-func (s *store) load(l Listing, now time.Time) {
-	s.known, s.listed, s.epoch, s.next, s.heard = true, true, l.Epoch, l.Next, now
-	s.untold = nil
-	s.whole = l.Complete
+func (s *store) loadListing(l Listing, now time.Time) {
+	s.known, s.listed, s.epoch, s.next, s.lastAnswer = true, true, l.Epoch, l.Next, now
+	s.unsent = nil
+	s.complete = l.Complete
 	s.used, s.reserved = 0, 0
 	for _, h := range l.Complete {
 		s.used += h.Tokens
@@ -110,31 +110,31 @@
 	}
 }
 
-// apply takes in events; false means that the store must be listed again.
-func (s *store) apply(e Events, now time.Time) bool {
+// applyEvents takes in events; false means that the store must be listed again.
+func (s *store) applyEvents(e Events, now time.Time) bool {
 	if !s.known || e.Epoch != s.epoch || e.Lost {
 		s.known = false
 		return false
 	}
-	s.next, s.heard = e.Next, now
+	s.next, s.lastAnswer = e.Next, now
 	for _, c := range e.Changes {
-		s.change(c)
+		s.applyChange(c)
 	}
 	return true
 }
 
-func (s *store) change(c Change) {
-	s.used -= s.whole[c.Segment].Tokens
+func (s *store) applyChange(c Change) {
+	s.used -= s.complete[c.Segment].Tokens
 	if !c.Added || c.Tokens <= 0 {
-		delete(s.whole, c.Segment)
+		delete(s.complete, c.Segment)
 		return
 	}
-	s.whole[c.Segment] = c.SegmentInfo
+	s.complete[c.Segment] = c.SegmentInfo
 	s.used += c.Tokens
-	s.settle(c.Segment)
+	s.removePending(c.Segment)
 }
 
-func (s *store) settle(key SegmentKey) {
+func (s *store) removePending(key SegmentKey) {
 	if p, ok := s.pending[key]; ok {
 		s.pendingTokens -= p.tokens
 		delete(s.pending, key)
@@ -143,12 +143,12 @@
 
 // usable tells whether what is known of the store may be relied on.
 func (s *store) usable(now time.Time) bool {
-	return s.known && now.Sub(s.heard) <= freshFor
+	return s.known && now.Sub(s.lastAnswer) <= storeFreshFor
 }
 
-// transfer is how long tokens take over this store's link within its failure domain, 0
+// transferTime is how long tokens take over this store's link within its failure domain, 0
 // if that is not known.
-func (s *store) transfer(tokens, tokenBytes int) time.Duration {
+func (s *store) transferTime(tokens, tokenBytes int) time.Duration {
 	rate := s.config.LinkBytesPerSecond
 	if rate <= 0 {
 		return 0
@@ -157,20 +157,20 @@
 }
 
 // holds tells whether a part is whole in the store.
-func (s *store) holds(key SegmentKey, tokens int) bool { return s.whole[key].Tokens >= tokens }
+func (s *store) holds(key SegmentKey, tokens int) bool { return s.complete[key].Tokens >= tokens }
 
-// maySave tells whether a part should be saved there, and counts it as underway.
-func (s *store) maySave(key SegmentKey, tokens int, now time.Time) bool {
-	if _, whole := s.whole[key]; whole {
+// tryBeginSave tells whether a part should be saved there, and counts it as underway.
+func (s *store) tryBeginSave(key SegmentKey, tokens int, now time.Time) bool {
+	if _, stored := s.complete[key]; stored {
 		return false
 	}
 	if p, ok := s.pending[key]; ok {
-		if now.Sub(p.at) < pendingFor {
+		if now.Sub(p.at) < pendingSaveTimeout {
 			return false
 		}
-		s.settle(key)
+		s.removePending(key)
 	}
-	if !s.hasRoom(key, tokens, now) {
+	if !s.hasCapacity(key, tokens, now) {
 		return false
 	}
 	s.pending[key] = pendingSave{now, tokens}
@@ -198,43 +198,43 @@
 	if tokenBytes <= 0 {
 		return link
 	}
-	return min(link, float64(max(0, s.room())*tokenBytes)/fillTime.Seconds())
+	return min(link, float64(max(0, s.freeCapacity())*tokenBytes)/fillTime.Seconds())
 }
 
-// room is how many more tokens may be saved, as far as is known.
-func (s *store) room() int {
-	return int(roomShare*float64(s.config.MemoryTokens)) - s.used - s.reserved - s.pendingTokens
+// freeCapacity is how many more tokens may be saved, as far as is known.
+func (s *store) freeCapacity() int {
+	return int(maxFillShare*float64(s.config.MemoryTokens)) - s.used - s.reserved - s.pendingTokens
 }
 
-// hasRoom tells whether a part finds room, or has it already by a save underway.
-func (s *store) hasRoom(key SegmentKey, tokens int, now time.Time) bool {
-	if s.saving(key, now) {
+// hasCapacity tells whether a part finds room, or has it already by a save underway.
+func (s *store) hasCapacity(key SegmentKey, tokens int, now time.Time) bool {
+	if s.hasPendingSave(key, now) {
 		return true
 	}
-	return tokens <= s.room()
+	return tokens <= s.freeCapacity()
 }
 
-// saving tells whether a save of a part that this process asked for is underway.
-func (s *store) saving(key SegmentKey, now time.Time) bool {
+// hasPendingSave tells whether a save of a part that this process asked for is underway.
+func (s *store) hasPendingSave(key SegmentKey, now time.Time) bool {
 	p, ok := s.pending[key]
-	return ok && now.Sub(p.at) < pendingFor
+	return ok && now.Sub(p.at) < pendingSaveTimeout
 }
 
-// expire forgets saves that nobody has heard of for long.
-func (s *store) expire(now time.Time) {
+// expirePending forgets saves that nobody has heard of for long.
+func (s *store) expirePending(now time.Time) {
 	for key, p := range s.pending {
-		if now.Sub(p.at) >= pendingFor {
-			s.settle(key)
+		if now.Sub(p.at) >= pendingSaveTimeout {
+			s.removePending(key)
 		}
 	}
 }
 
-// obsolete lists the parts that no engine can use any more: their salt names
+// obsoleteSegments lists the parts that no engine can use any more: their salt names
 // weights below the oldest that an engine of their model still has.
-func (s *store) obsolete(oldest map[string]int64) []SegmentKey {
+func (s *store) obsoleteSegments(oldest map[string]int64) []SegmentKey {
 	var out []SegmentKey
-	for key, h := range s.whole {
-		if weights, ok := weightsOf(key.Salt); ok && weights < oldest[h.Model] {
+	for key, h := range s.complete {
+		if weights, ok := weightsVersion(key.Salt); ok && weights < oldest[h.Model] {
 			out = append(out, key)
 		}
 	}
@@ -242,13 +242,13 @@
 }
 
 // Salt keeps apart the contexts of walls, models and versions of weights.
-func Salt(wall, model, weights string) string {
-	return strconv.FormatUint(xxhash.Sum64String(wall+"\x00"+model), 36) + "." + weights
+func Salt(sharingGroup, model, weights string) string {
+	return strconv.FormatUint(xxhash.Sum64String(sharingGroup+"\x00"+model), 36) + "." + weights
 }
 
-// weightsOf reads the version of weights from a salt; false for a salt that this
+// weightsVersion reads the version of weights from a salt; false for a salt that this
 // product did not make.
-func weightsOf(salt string) (int64, bool) {
+func weightsVersion(salt string) (int64, bool) {
 	_, text, ok := strings.Cut(salt, ".")
 	weights, err := strconv.ParseInt(text, 10, 64)
 	return weights, ok && err == nil
--- a/internal/coordination/contextcache/tracker.go
+++ b/internal/coordination/contextcache/tracker.go
@@ -18,7 +18,7 @@
 	// Events waits for changes after since.
 	Events(ctx context.Context, address string, since int64, wait time.Duration) (Events, error)
 	// Free drops parts if the store is still in the given epoch.
-	Free(ctx context.Context, address string, epoch int64, parts []SegmentKey) error
+	Free(ctx context.Context, address string, epoch int64, segments []SegmentKey) error
 }
 
 // Tracker follows all stores and plans imports and saves. Safe for concurrent use.
@@ -42,17 +42,17 @@
 	stores map[string]*store
 	// engines hold what each engine keeps in its own memory.
 	engines map[string]*store
-	// clock is the endpoints' clock less this process's, in ms; known once told.
-	clock      int64
-	clockKnown bool
+	// clockOffset is the endpoints' clockOffset less this process's, in ms; known once told.
+	clockOffset      int64
+	clockOffsetKnown bool
 	// tokenBytes is the size of a token's context, the largest of all engines'.
 	tokenBytes int
 	changed    chan struct{}
 	// peers as last told; chosen remembers for each address whether they leave it to this
 	// process, telling holds those that it follows for them.
-	peers           []string
-	chosen, telling map[string]bool
-	endpointClock   endpointClock
+	peers                    []string
+	reporterCache, reporting map[string]bool
+	endpointClock            endpointClock
 }
 
 // NewTracker returns a keeper that knows no store.
@@ -61,29 +61,29 @@
 }
 
 // SetStores tells which stores the configuration names.
-func (k *Tracker) SetStores(services map[string]*routes.Service) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (t *Tracker) SetStores(services map[string]*routes.Service) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	next := map[string]*store{}
 	for _, s := range services {
 		if s.Store == nil {
 			continue
 		}
-		old, ok := k.stores[s.Store.Address]
+		old, ok := t.stores[s.Store.Address]
 		if !ok {
 			old = newStore(*s.Store)
 		}
 		old.config = *s.Store
 		next[s.Store.Address] = old
 	}
-	k.stores = next
-	k.wake()
+	t.stores = next
+	t.wake()
 }
 
 // wake tells Run that there are other stores or engines.
-func (k *Tracker) wake() {
+func (t *Tracker) wake() {
 	select {
-	case k.changed <- struct{}{}:
+	case t.changed <- struct{}{}:
 	default:
 	}
 }
@@ -96,27 +96,27 @@
 	callMargin = 300 * time.Millisecond
 	// listTimeout bounds a list.
 	listTimeout = time.Second
-	// storePause follows a failed call.
-	storePause = 300 * time.Millisecond
-	// reviewEvery is how often a process looks whether it is told of all that it does not
+	// storeRetryDelay follows a failed call.
+	storeRetryDelay = 300 * time.Millisecond
+	// reviewInterval is how often a process looks whether it is told of all that it does not
 	// follow.
-	reviewEvery = 200 * time.Millisecond
+	reviewInterval = 200 * time.Millisecond
 )
 
 // Run follows the stores and engines, one duty each, until ctx ends.
-func (k *Tracker) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	defer duties.Wait()
+func (t *Tracker) Run(ctx context.Context) {
+	var workers sync.WaitGroup
+	defer workers.Wait()
 	running := map[string]context.CancelFunc{}
-	ticker := time.NewTicker(reviewEvery)
+	ticker := time.NewTicker(reviewInterval)
 	defer ticker.Stop()
 	for {
-		wanted := k.followers()
+		wanted := t.followers()
 		for address, follow := range wanted {
 			if running[address] == nil {
-				own, cancel := context.WithCancel(ctx)
+				workerCtx, cancel := context.WithCancel(ctx)
 				running[address] = cancel
-				duties.Go(func() { follow(own, address) })
+				workers.Go(func() { follow(workerCtx, address) })
 			}
 		}
 		for address, cancel := range running {
@@ -126,7 +126,7 @@
 			}
 		}
 		select {
-		case <-k.changed:
+		case <-t.changed:
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
@@ -135,169 +135,169 @@
 }
 
 // followers is what each address is followed by.
-func (k *Tracker) followers() map[string]func(context.Context, string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.Now()
-	k.setPeers()
+func (t *Tracker) followers() map[string]func(context.Context, string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.Now()
+	t.updatePeers()
 	out := map[string]func(context.Context, string){}
-	for _, address := range k.followedEngines(now) {
-		out[address] = k.followEngine
+	for _, address := range t.followedEngines(now) {
+		out[address] = t.followEngine
 	}
-	for address, s := range k.stores {
-		if k.follows(address, s, storeUntold, now) {
-			out[address] = k.follow
+	for address, s := range t.stores {
+		if t.shouldFollow(address, s, storeReportTimeout, now) {
+			out[address] = t.followStore
 		}
 	}
 	return out
 }
 
-func (k *Tracker) follow(ctx context.Context, address string) {
+func (t *Tracker) followStore(ctx context.Context, address string) {
 	for ctx.Err() == nil {
-		if err := k.followOnce(ctx, address); err != nil && ctx.Err() == nil {
-			k.forget(address, err)
-			pause.For(ctx, storePause)
+		if err := t.followOnce(ctx, address); err != nil && ctx.Err() == nil {
+			t.markUnreachable(address, err)
+			pause.For(ctx, storeRetryDelay)
 		}
 	}
 }
 
-// forget stops the use of a store that does not answer: it may be restarting.
-func (k *Tracker) forget(address string, err error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if s := k.stores[address]; s != nil && s.known {
+// markUnreachable stops the use of a store that does not answer: it may be restarting.
+func (t *Tracker) markUnreachable(address string, err error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.stores[address]; s != nil && s.known {
 		s.known = false
-		k.Log.Warn("context store is not used", zap.String("store", address), zap.Int64("epoch", s.epoch), zap.Error(err))
+		t.Log.Warn("context store is not used", zap.String("store", address), zap.Int64("epoch", s.epoch), zap.Error(err))
 	}
 }
 
 // followOnce follows a store's events until a call fails, from a list on if what it holds is
 // not known.
-func (k *Tracker) followOnce(ctx context.Context, address string) error {
-	next, ok := k.goOn(address)
+func (t *Tracker) followOnce(ctx context.Context, address string) error {
+	next, ok := t.nextEvent(address)
 	if !ok {
 		call, cancel := context.WithTimeout(ctx, listTimeout)
-		began := k.Now()
-		listing, err := k.Client.List(call, address)
+		began := t.Now()
+		listing, err := t.Client.List(call, address)
 		cancel()
 		if err != nil {
 			return err
 		}
-		next, ok = k.takeListing(address, listing, began)
+		next, ok = t.applyListing(address, listing, began)
 	}
-	p := pace{usual: eventWait}
-	for ok && p.rest(ctx) {
-		p.telling = k.tellsOf(address)
-		call, cancel := context.WithTimeout(ctx, p.wait()+callMargin)
-		began := k.Now()
-		events, err := k.Client.Events(call, address, next, p.wait())
+	p := pollPace{maxWait: eventWait}
+	for ok && p.pauseBeforeCall(ctx) {
+		p.reporting = t.isReporting(address)
+		call, cancel := context.WithTimeout(ctx, p.callWait()+callMargin)
+		began := t.Now()
+		events, err := t.Client.Events(call, address, next, p.callWait())
 		cancel()
 		if errors.Is(err, ErrTooManyCalls) {
 			// What is known stays good for as long as it is fresh; a list would cost more.
-			p.crowded = true
+			p.saturated = true
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		next, ok = k.takeEvents(address, events, began)
+		next, ok = t.applyEvents(address, events, began)
 	}
 	return nil
 }
 
-// goOn is the number from which a store's events are to be followed, if what it held before
+// nextEvent is the number from which a store's events are to be followed, if what it held before
 // is known.
-func (k *Tracker) goOn(address string) (next int64, ok bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := k.stores[address]
-	if s == nil || !s.usable(k.Now()) {
+func (t *Tracker) nextEvent(address string) (next int64, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.stores[address]
+	if s == nil || !s.usable(t.Now()) {
 		return 0, false
 	}
 	return s.next, true
 }
 
-// tellsOf tells whether this process follows an address for its domain.
-func (k *Tracker) tellsOf(address string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.telling[address]
+// isReporting tells whether this process follows an address for its domain.
+func (t *Tracker) isReporting(address string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.reporting[address]
 }
 
-// takeListing records a list as of when it was asked for.
-func (k *Tracker) takeListing(address string, l Listing, asked time.Time) (next int64, ok bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := k.stores[address]
+// applyListing records a list as of when it was asked for.
+func (t *Tracker) applyListing(address string, l Listing, requestedAt time.Time) (next int64, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.stores[address]
 	if s == nil {
 		return 0, false
 	}
-	s.load(l, asked)
-	k.Log.Info("context store listed", zap.String("store", address), zap.Int64("epoch", l.Epoch), zap.Int("parts", len(l.Complete)),
+	s.loadListing(l, requestedAt)
+	t.Log.Info("context store listed", zap.String("store", address), zap.Int64("epoch", l.Epoch), zap.Int("parts", len(l.Complete)),
 		zap.Int("tokens", s.used), zap.Int("partial", len(l.Partial)))
 	return s.next, true
 }
 
-func (k *Tracker) takeEvents(address string, e Events, asked time.Time) (next int64, ok bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := k.stores[address]
+func (t *Tracker) applyEvents(address string, e Events, requestedAt time.Time) (next int64, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.stores[address]
 	if s == nil {
 		return 0, false
 	}
-	now := k.Now()
+	now := t.Now()
 	if e.ClockMS > 0 {
-		k.takeClock(e.ClockMS, now)
+		t.observeClock(e.ClockMS, now)
 	}
 	// A call that waited was answered at its end: what it says is as of then, less
 	// the way of the answer, which callMargin bounds.
-	heard := now.Add(-callMargin / 2)
-	if heard.Before(asked) {
-		heard = asked
+	asOf := now.Add(-callMargin / 2)
+	if asOf.Before(requestedAt) {
+		asOf = requestedAt
 	}
-	ok = s.apply(e, heard)
-	k.keepUntold(address, s, e.Changes)
-	s.expire(now)
+	ok = s.applyEvents(e, asOf)
+	t.queueUnsent(address, s, e.Changes)
+	s.expirePending(now)
 	return s.next, ok
 }
 
-// takeClock takes in a reading of the endpoints' clock; k.mu is held.
-func (k *Tracker) takeClock(told int64, now time.Time) {
-	k.clock, k.clockKnown = told-now.UnixMilli(), true
-	k.endpointClock.observe(told, now)
+// observeClock takes in a reading of the endpoints' clock; k.mu is held.
+func (t *Tracker) observeClock(clockMS int64, now time.Time) {
+	t.clockOffset, t.clockOffsetKnown = clockMS-now.UnixMilli(), true
+	t.endpointClock.observe(clockMS, now)
 }
 
-// maxFreed bounds one call; a store answers it within its listing's time.
-const maxFreed = 200
+// maxFreedPerCall bounds one call; a store answers it within its listing's time.
+const maxFreedPerCall = 200
 
 // FreeObsolete frees the parts that no engine can use any more. An engine that has newer
 // weights has ended all runs under older ones, so nothing reads them: it needs no
 // word with other processes, but one process is enough.
-func (k *Tracker) FreeObsolete(ctx context.Context, oldest map[string]int64) {
-	for address, job := range k.obsolete(oldest) {
+func (t *Tracker) FreeObsolete(ctx context.Context, oldest map[string]int64) {
+	for address, job := range t.freeJobs(oldest) {
 		call, cancel := context.WithTimeout(ctx, listTimeout)
-		err := k.Client.Free(call, address, job.epoch, job.parts)
+		err := t.Client.Free(call, address, job.epoch, job.segments)
 		cancel()
-		k.Log.Info("obsolete context freed", zap.String("store", address), zap.Int("parts", len(job.parts)), zap.Error(err))
+		t.Log.Info("obsolete context freed", zap.String("store", address), zap.Int("parts", len(job.segments)), zap.Error(err))
 	}
 }
 
-// freeing is what is to be freed in one store.
-type freeing struct {
-	epoch int64
-	parts []SegmentKey
+// freeJob is what is to be freed in one store.
+type freeJob struct {
+	epoch    int64
+	segments []SegmentKey
 }
 
-func (k *Tracker) obsolete(oldest map[string]int64) map[string]freeing {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	out := map[string]freeing{}
-	for address, s := range k.stores {
-		if !s.usable(k.Now()) {
+func (t *Tracker) freeJobs(oldest map[string]int64) map[string]freeJob {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	out := map[string]freeJob{}
+	for address, s := range t.stores {
+		if !s.usable(t.Now()) {
 			continue
 		}
-		if parts := s.obsolete(oldest); len(parts) > 0 {
-			out[address] = freeing{s.epoch, parts[:min(len(parts), maxFreed)]}
+		if segments := s.obsoleteSegments(oldest); len(segments) > 0 {
+			out[address] = freeJob{s.epoch, segments[:min(len(segments), maxFreedPerCall)]}
 		}
 	}
 	return out
--- a/internal/coordination/contextcache/tracker_test.go
+++ b/internal/coordination/contextcache/tracker_test.go
@@ -37,11 +37,11 @@
 		"llm":  {Engine: &routes.Engine{}},
 	})
 	for _, address := range []string{near, far} {
-		if _, ok := k.takeListing(address, Listing{Epoch: 7, Complete: map[SegmentKey]SegmentInfo{}}, c.now); !ok {
+		if _, ok := k.applyListing(address, Listing{Epoch: 7, Complete: map[SegmentKey]SegmentInfo{}}, c.now); !ok {
 			t.Fatal("store is not known")
 		}
 	}
-	k.takeEvents(near, Events{Epoch: 7, ClockMS: c.now.UnixMilli() + 5000}, c.now)
+	k.applyEvents(near, Events{Epoch: 7, ClockMS: c.now.UnixMilli() + 5000}, c.now)
 	return k, c
 }
 
@@ -51,16 +51,16 @@
 
 var parts = []Segment{{"p1", 500}, {"p2", 1500}}
 
-func (k *Tracker) mustPlan(salt string) (from, to []string, stored int) {
-	p := k.Plan(salt, "context", parts, "", 0)
+func (t *Tracker) mustPlan(salt string) (from, to []string, stored int) {
+	p := t.Plan(salt, "context", parts, "", 0)
 	return p.ImportFrom, p.SaveTo, p.StoredTokens
 }
 
 // stored is how many tokens of a prompt may be imported from stores, from its first
 // part on.
-func (k *Tracker) stored(salt string, parts []Segment) int {
+func (t *Tracker) stored(salt string, parts []Segment) int {
 	tokens := 0
-	for _, i := range k.Lookup(salt, parts).Imports {
+	for _, i := range t.Lookup(salt, parts).Segments {
 		if !i.Stored {
 			break
 		}
@@ -81,11 +81,11 @@
 	if from, to, _ = k.mustPlan("s.1"); from[0] != "" || to[0] != "" {
 		t.Errorf("while the save is underway: from %q to %q", from, to)
 	}
-	k.takeEvents(target, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 300)}}, c.now)
+	k.applyEvents(target, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 300)}}, c.now)
 	if from, _, _ = k.mustPlan("s.1"); from[0] != "" {
 		t.Error("a part of fewer tokens than asked for is imported")
 	}
-	k.takeEvents(target, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
+	k.applyEvents(target, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
 	from, to, stored = k.mustPlan("s.1")
 	if from[0] != target || from[1] != target || to[0] != "" || stored != 2000 {
 		t.Errorf("whole: from %q to %q, %d stored", from, to, stored)
@@ -93,7 +93,7 @@
 	if from, _, stored = k.mustPlan("s.2"); from[0] != "" || stored != 0 {
 		t.Error("parts made by other weights are imported")
 	}
-	if until := k.Plan("s.1", "context", parts, "", 0).ImportDeadline; until != c.now.UnixMilli()+5000+importTime.Milliseconds() {
+	if until := k.Plan("s.1", "context", parts, "", 0).ImportDeadline; until != c.now.UnixMilli()+5000+maxImportTime.Milliseconds() {
 		t.Errorf("imports end at %d", until)
 	}
 }
@@ -105,7 +105,7 @@
 // enter an answer. A store is no source a second after its last word.
 func TestStoreThatFellSilentIsNotUsed(t *testing.T) {
 	k, c := keeper(t)
-	k.takeEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500)}}, c.now)
+	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500)}}, c.now)
 	if from, _, _ := k.mustPlan("s.1"); from[0] != near {
 		t.Fatalf("%q", from)
 	}
@@ -116,13 +116,13 @@
 	if k.stored("s.1", parts) != 0 {
 		t.Error("counted as stored")
 	}
-	if _, ok := k.takeEvents(near, Events{Epoch: 8}, c.now); ok {
+	if _, ok := k.applyEvents(near, Events{Epoch: 8}, c.now); ok {
 		t.Error("the new life's events are taken for the old one's")
 	}
 	if from, _, _ := k.mustPlan("s.1"); from[0] != "" {
 		t.Error("a part of the life before is imported")
 	}
-	k.takeListing(near, Listing{Epoch: 8, Complete: map[SegmentKey]SegmentInfo{}, Partial: map[SegmentKey]int{{"s.1", "p1"}: 500}}, c.now)
+	k.applyListing(near, Listing{Epoch: 8, Complete: map[SegmentKey]SegmentInfo{}, Partial: map[SegmentKey]int{{"s.1", "p1"}: 500}}, c.now)
 	if from, _, _ := k.mustPlan("s.1"); from[0] != "" {
 		t.Error("a part that is being written is imported")
 	}
@@ -130,12 +130,12 @@
 
 func TestGapsAndRemovals(t *testing.T) {
 	k, c := keeper(t)
-	k.takeEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
-	k.takeEvents(near, Events{Epoch: 7, Changes: []Change{{Segment: SegmentKey{"s.1", "p1"}}}}, c.now)
+	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
+	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{{Segment: SegmentKey{"s.1", "p1"}}}}, c.now)
 	if got := k.stored("s.1", parts); got != 0 {
 		t.Errorf("%d tokens stored behind a part that is gone", got)
 	}
-	if _, ok := k.takeEvents(near, Events{Epoch: 7, Lost: true}, c.now); ok {
+	if _, ok := k.applyEvents(near, Events{Epoch: 7, Lost: true}, c.now); ok {
 		t.Error("a gap is passed over")
 	}
 	if from, _, _ := k.mustPlan("s.1"); from[1] != "" {
@@ -146,12 +146,12 @@
 // TestSavesKeepToTheRoom fills a store; what is underway counts.
 func TestSavesKeepToTheRoom(t *testing.T) {
 	s := newStore(routes.Store{MemoryTokens: 10_000})
-	s.load(Listing{Complete: map[SegmentKey]SegmentInfo{{"s", "a"}: {Tokens: 4000}}, Partial: map[SegmentKey]int{{"s", "b"}: 2000}}, epoch)
-	if !s.maySave(SegmentKey{"s", "c"}, 3000, epoch) || s.maySave(SegmentKey{"s", "d"}, 3000, epoch) {
+	s.loadListing(Listing{Complete: map[SegmentKey]SegmentInfo{{"s", "a"}: {Tokens: 4000}}, Partial: map[SegmentKey]int{{"s", "b"}: 2000}}, epoch)
+	if !s.tryBeginSave(SegmentKey{"s", "c"}, 3000, epoch) || s.tryBeginSave(SegmentKey{"s", "d"}, 3000, epoch) {
 		t.Error("the room is not counted")
 	}
-	s.expire(epoch.Add(pendingFor))
-	if !s.maySave(SegmentKey{"s", "d"}, 3000, epoch.Add(pendingFor)) {
+	s.expirePending(epoch.Add(pendingSaveTimeout))
+	if !s.tryBeginSave(SegmentKey{"s", "d"}, 3000, epoch.Add(pendingSaveTimeout)) {
 		t.Error("a save that was lost keeps its room for ever")
 	}
 }
@@ -160,18 +160,18 @@
 func TestObsoleteContext(t *testing.T) {
 	k, c := keeper(t)
 	old, now := Salt("shared", "m", "1"), Salt("shared", "m", "2")
-	k.takeEvents(near, Events{Epoch: 7, Changes: []Change{
+	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{
 		added(old, "p1", 1), added(now, "p1", 1), added("somebody else's", "p1", 1), added(old, "p2", 1),
 	}}, c.now)
-	if jobs := k.obsolete(map[string]int64{"m": 1}); len(jobs) != 0 {
+	if jobs := k.freeJobs(map[string]int64{"m": 1}); len(jobs) != 0 {
 		t.Errorf("freed while an engine has the old weights: %v", jobs)
 	}
-	jobs := k.obsolete(map[string]int64{"m": 2})
-	if job := jobs[near]; len(jobs) != 1 || job.epoch != 7 || len(job.parts) != 2 || job.parts[0].Salt != old {
+	jobs := k.freeJobs(map[string]int64{"m": 2})
+	if job := jobs[near]; len(jobs) != 1 || job.epoch != 7 || len(job.segments) != 2 || job.segments[0].Salt != old {
 		t.Errorf("%v", jobs)
 	}
-	c.now = c.now.Add(2 * freshFor)
-	if jobs := k.obsolete(map[string]int64{"m": 2}); len(jobs) != 0 {
+	c.now = c.now.Add(2 * storeFreshFor)
+	if jobs := k.freeJobs(map[string]int64{"m": 2}); len(jobs) != 0 {
 		t.Error("freed in a store that may have restarted")
 	}
 }
@@ -192,7 +192,7 @@
 		for i := range n {
 			best, rank := "", 0.0
 			for address, config := range stores {
-				if r := rendezvous(address, fmt.Sprint(i), newStore(config).saveWeight(0)); r > rank {
+				if r := rendezvousScore(address, fmt.Sprint(i), newStore(config).saveWeight(0)); r > rank {
 					best, rank = address, r
 				}
 			}
@@ -213,17 +213,17 @@
 	if k.Lookup("s", nil).EnginesKnown {
 		t.Error("informed before any word")
 	}
-	k.takeEngineEvents(near, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500), added("s", "p2", 1500)}})
-	k.takeEngineEvents(far, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p2", 1500)}})
+	k.applyEngineEvents(near, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500), added("s", "p2", 1500)}})
+	k.applyEngineEvents(far, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p2", 1500)}})
 	resident := k.Lookup("s", parts).Resident
 	if !k.Lookup("s", nil).EnginesKnown || len(resident) != 1 || resident[0] != (ResidentPrefix{near, 2000, 2}) {
 		t.Errorf("%+v", resident)
 	}
-	k.takeEngineEvents(near, Events{Epoch: 2, Next: 1})
+	k.applyEngineEvents(near, Events{Epoch: 2, Next: 1})
 	if len(k.Lookup("s", parts).Resident) != 0 {
 		t.Error("a restarted engine still keeps what it had")
 	}
-	c.now = c.now.Add(2 * engineFresh)
+	c.now = c.now.Add(2 * engineFreshFor)
 	if k.Lookup("s", nil).EnginesKnown {
 		t.Error("informed by old words")
 	}
@@ -275,7 +275,7 @@
 	c := &clock{epoch}
 	k := NewTracker(nil, zap.NewNop(), "a", c.Now)
 	k.SetEngines(map[string]Engine{near: {Domain: "a"}, far: {Domain: "b"}, "10.0.0.3:1": {Domain: "b"}})
-	k.takeEngineEvents(near, Events{Epoch: 1, Next: 5})
+	k.applyEngineEvents(near, Events{Epoch: 1, Next: 5})
 	if !k.Lookup("s", nil).EnginesKnown {
 		t.Error("not informed though its own domain's engine is known")
 	}
@@ -284,17 +284,17 @@
 		err     error
 		want    time.Duration
 	}{
-		{far, ErrTooManyCalls, farPause}, {far, errors.New("reset"), enginePause}, {near, ErrTooManyCalls, 0}, {"gone", ErrTooManyCalls, enginePause},
+		{far, ErrTooManyCalls, remoteRetryDelay}, {far, errors.New("reset"), engineRetryDelay}, {near, ErrTooManyCalls, 0}, {"gone", ErrTooManyCalls, engineRetryDelay},
 	}
 	for _, row := range rows {
-		if got := k.afterFailure(row.address, row.err); got != row.want {
+		if got := k.handleEngineFailure(row.address, row.err); got != row.want {
 			t.Errorf("%s after %v: %s", row.address, row.err, got)
 		}
 	}
 	if !k.Lookup("s", nil).EnginesKnown {
 		t.Error("what an engine told is forgotten because it holds too many calls")
 	}
-	c.now = c.now.Add(2 * engineFresh)
+	c.now = c.now.Add(2 * engineFreshFor)
 	if k.Lookup("s", nil).EnginesKnown {
 		t.Error("informed by an engine that refuses for long")
 	}
@@ -305,12 +305,12 @@
 	c := &clock{epoch}
 	k := NewTracker(nil, zap.NewNop(), "a", c.Now)
 	k.SetEngines(map[string]Engine{near: {Domain: "a"}})
-	k.takeEngineEvents(near, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500)}})
-	k.afterFailure(near, errors.New("reset"))
+	k.applyEngineEvents(near, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500)}})
+	k.handleEngineFailure(near, errors.New("reset"))
 	if len(k.Lookup("s", parts).Resident) != 0 {
 		t.Error("used while it does not answer")
 	}
-	k.takeEngineEvents(near, Events{Epoch: 1, Next: 6, Changes: []Change{added("s", "p2", 1500)}})
+	k.applyEngineEvents(near, Events{Epoch: 1, Next: 6, Changes: []Change{added("s", "p2", 1500)}})
 	if r := k.Lookup("s", parts).Resident; len(r) != 1 || r[0].Segments != 2 {
 		t.Errorf("what was known before the failure is lost: %+v", r)
 	}
@@ -336,7 +336,7 @@
 			engines[fmt.Sprintf("10.0.0.%d:1", i)] = Engine{Domain: string(rune('a' + i%3))}
 		}
 		k.SetEngines(engines)
-		if got, from := len(k.followers()), k.firstEvent("10.0.0.0:1"); got != row.want || from != row.from {
+		if got, from := len(k.followers()), k.firstEngineEvent("10.0.0.0:1"); got != row.want || from != row.from {
 			t.Errorf("%d engines: %d followed from %d", row.engines, got, from)
 		}
 	}
@@ -374,12 +374,12 @@
 		return n
 	}
 	one, other := followed("g1", -1), followed("g2", -1)
-	if len(one) != mostFollowed || len(other) != mostFollowed || common(one, other) > mostFollowed/2 {
+	if len(one) != maxFollowed || len(other) != maxFollowed || common(one, other) > maxFollowed/2 {
 		t.Errorf("%d and %d followed, %d by both", len(one), len(other), common(one, other))
 	}
 	for without := range count {
-		if kept := common(one, followed("g1", without)); kept < mostFollowed-1 {
-			t.Fatalf("%d of %d still followed without engine %d", kept, mostFollowed, without)
+		if kept := common(one, followed("g1", without)); kept < maxFollowed-1 {
+			t.Fatalf("%d of %d still followed without engine %d", kept, maxFollowed, without)
 		}
 	}
 }
@@ -390,16 +390,16 @@
 	k, c := keeper(t)
 	const target, other = "10.0.1.1:1", "10.0.1.2:1"
 	k.SetEngines(map[string]Engine{target: {Domain: "a", TokenBytes: 1000, LinkBytesPerSecond: 1_000_000}, other: {Domain: "b", LinkBytesPerSecond: 1_000_000}})
-	k.takeEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p2", 1500)}}, c.now)
-	k.takeEngineEvents(target, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
+	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p2", 1500)}}, c.now)
+	k.applyEngineEvents(target, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
 	if p := k.Plan("s.1", "context", parts, target, 0); p.ImportFrom[0] != "" || p.ImportFrom[1] != near {
 		t.Errorf("%q", p.ImportFrom)
 	}
-	k.takeEngineEvents(other, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}})
+	k.applyEngineEvents(other, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}})
 	if p := k.Plan("s.1", "context", parts, target, 0); p.ImportFrom[0] != other || p.ImportFrom[1] != other {
 		t.Errorf("%q", p.ImportFrom)
 	}
-	imports := k.Lookup("s.1", parts).Imports
+	imports := k.Lookup("s.1", parts).Segments
 	if len(imports) != 2 || !imports[1].Stored || imports[1].Domain != "b" || imports[1].TransferTime != 1500*time.Millisecond {
 		t.Errorf("%+v", imports)
 	}
@@ -415,12 +415,12 @@
 	k, c := keeper(t)
 	const target, other = "10.0.1.1:1", "10.0.1.2:1"
 	k.SetEngines(map[string]Engine{target: {Domain: "a"}, other: {Domain: "a"}})
-	k.takeEngineEvents(target, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
-	k.takeEngineEvents(other, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
+	k.applyEngineEvents(target, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
+	k.applyEngineEvents(other, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
 	if p := k.Plan("s.1", "context", parts, target, 0); p.ImportFrom[0] != other || p.ImportFrom[1] != "" {
 		t.Errorf("held by another engine only: %q", p.ImportFrom)
 	}
-	k.takeEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
+	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
 	if p := k.Plan("s.1", "context", parts, target, 0); p.ImportFrom[0] != near || p.ImportFrom[1] != near {
 		t.Errorf("held by a store, which loses nothing by itself: %q", p.ImportFrom)
 	}
@@ -429,7 +429,7 @@
 // TestFullStoreIsFollowedByTheNext saves more contexts than one store holds.
 func TestFullStoreIsFollowedByTheNext(t *testing.T) {
 	k, c := keeper(t)
-	k.takeEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "other", 9_600)}}, c.now)
+	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "other", 9_600)}}, c.now)
 	for i := range 8 {
 		p := k.Plan("s.1", fmt.Sprint("context ", i), []Segment{{fmt.Sprint("p", i), 1000}}, "", 0)
 		if p.SaveTo[0] != far {
@@ -445,8 +445,8 @@
 func TestImportsLeaveTimeToRead(t *testing.T) {
 	for objective, want := range map[time.Duration]time.Duration{
 		600 * time.Millisecond: 300 * time.Millisecond,
-		20 * time.Second:       importTime,
-		0:                      importTime,
+		20 * time.Second:       maxImportTime,
+		0:                      maxImportTime,
 	} {
 		k, c := keeper(t)
 		if until := k.Plan("s.1", "context", parts, "", objective).ImportDeadline; until != c.now.Add(5*time.Second+want).UnixMilli() {
--- a/internal/coordination/gateway/prompt.go
+++ b/internal/coordination/gateway/prompt.go
@@ -70,7 +70,7 @@
 	}
 	salt := contextcache.Salt(p.sharingGroup, x.call.Model, weights)
 	contents := x.g.ContextTracker.Lookup(salt, p.segments)
-	r.Segments, r.HoldingsKnown = contents.Imports, contents.EnginesKnown
+	r.Segments, r.HoldingsKnown = contents.Segments, contents.EnginesKnown
 	if !r.HoldingsKnown {
 		return
 	}
