--- a/internal/coordination/contextcache/capacity_test.go
+++ b/internal/coordination/contextcache/capacity_test.go
@@ -10,70 +10,70 @@
 	"limpetwall/internal/state/routes"
 )
 
-// TestSavesOfManyProcessesFindRoom lets 100 processes save 200 contexts of 9,000 tokens a second
+// TestManyProcessesSaveWithinCapacity lets 100 processes save 200 contexts of 9,000 tokens a second
 // in four small stores with fast links and four large ones with slow links.
 //
 // Each knows of the others' saves half a second later only. If all fill the fast stores first,
 // they go on for as long after these are full: the saves are lost, and the contexts read again.
 // All are to find room, and no store is to stay empty while another fills.
-func TestSavesOfManyProcessesFindRoom(t *testing.T) {
+func TestManyProcessesSaveWithinCapacity(t *testing.T) {
 	const (
 		processes, perSecond, tokens = 100, 200, 9000
 		length                       = 20 * time.Second
-		heardAfter                   = 500 * time.Millisecond
+		eventDelay                   = 500 * time.Millisecond
 		tokenBytes                   = 18_432
-		// hearEvery is after how many saves a store without changes is heard of.
-		hearEvery = 20
+		// idleEventInterval is after how many saves a store without changes is heard of.
+		idleEventInterval = 20
 	)
-	c := &clock{epoch}
+	c := &fakeClock{epoch}
 	services := map[string]*routes.Service{"llm": {Engine: &routes.Engine{}}}
-	room := map[string]int{}
+	free := map[string]int{}
 	for i := range 4 {
 		small, large := fmt.Sprintf("10.0.0.%d:1", i), fmt.Sprintf("10.0.1.%d:1", i)
 		services[small] = &routes.Service{Store: &routes.Store{Address: small, MemoryTokens: 1_400_000, LinkBytesPerSecond: 9 << 30}}
 		services[large] = &routes.Service{Store: &routes.Store{Address: large, MemoryTokens: 12_000_000, LinkBytesPerSecond: 3 << 30}}
 	}
-	var keepers []*Tracker
+	var trackers []*Tracker
 	for range processes {
-		k := NewTracker(nil, zap.NewNop(), "a", c.Now)
-		k.SetStores(services)
-		k.SetEngines(map[string]Engine{"10.0.2.1:1": {TokenBytes: tokenBytes}})
-		for address, s := range k.stores {
-			k.applyListing(address, Listing{Epoch: 1, Complete: map[SegmentKey]SegmentInfo{}}, c.now)
-			room[address] = s.config.MemoryTokens
+		tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
+		tracker.SetStores(services)
+		tracker.SetEngines(map[string]Engine{"10.0.2.1:1": {TokenBytes: tokenBytes}})
+		for address, s := range tracker.stores {
+			tracker.applyListing(address, Listing{Epoch: 1, Complete: map[SegmentKey]SegmentInfo{}}, c.now)
+			free[address] = s.config.MemoryTokens
 		}
-		keepers = append(keepers, k)
+		trackers = append(trackers, tracker)
 	}
 	lost := 0
-	told := map[time.Time]map[string][]Change{}
+	eventsAt := map[time.Time]map[string][]Change{}
 	const every = time.Second / perSecond
 	for n := range int(length / every) {
-		for _, k := range keepers {
-			for address := range k.stores {
-				if len(told[c.now][address]) == 0 && n%hearEvery != 0 {
+		for _, tracker := range trackers {
+			for address := range tracker.stores {
+				if len(eventsAt[c.now][address]) == 0 && n%idleEventInterval != 0 {
 					continue
 				}
-				k.applyEvents(address, Events{Epoch: 1, ClockMS: c.now.UnixMilli(), Changes: told[c.now][address]}, c.now)
+				tracker.applyEvents(address, Events{Epoch: 1, ClockMS: c.now.UnixMilli(), Changes: eventsAt[c.now][address]}, c.now)
 			}
 		}
 		id := fmt.Sprint("p", n)
-		to := keepers[n%processes].Plan("s.1", id, []Segment{{id, tokens}}, "", 0).SaveTo[0]
-		if to == "" || room[to] < tokens {
+		to := trackers[n%processes].Plan("s.1", id, []Segment{{id, tokens}}, "", 0).SaveTo[0]
+		if to == "" || free[to] < tokens {
 			lost++
 		} else {
-			room[to] -= tokens
-			at := c.now.Add(heardAfter)
-			if told[at] == nil {
-				told[at] = map[string][]Change{}
+			free[to] -= tokens
+			at := c.now.Add(eventDelay)
+			if eventsAt[at] == nil {
+				eventsAt[at] = map[string][]Change{}
 			}
-			told[at][to] = append(told[at][to], added("s.1", id, tokens))
+			eventsAt[at][to] = append(eventsAt[at][to], added("s.1", id, tokens))
 		}
 		c.now = c.now.Add(every)
 	}
 	if lost > 0 {
 		t.Errorf("%d of %d saves found no room", lost, int(length/every))
 	}
-	for address, left := range room {
+	for address, left := range free {
 		if memory := services[address].Store.MemoryTokens; left > memory*9/10 {
 			t.Errorf("%s has %d of %d tokens free", address, left, memory)
 		}
--- a/internal/coordination/contextcache/engines.go
+++ b/internal/coordination/contextcache/engines.go
@@ -79,7 +79,7 @@
 		t.tokenBytes = max(t.tokenBytes, e.TokenBytes)
 	}
 	for address := range t.engines {
-		if _, still := engines[address]; !still {
+		if _, ok := engines[address]; !ok {
 			delete(t.engines, address)
 			t.wake()
 		}
@@ -102,30 +102,30 @@
 
 // followedEngines lists the engines whose memory this process follows itself; k.mu is held.
 func (t *Tracker) followedEngines(now time.Time) []string {
-	var near, all []string
+	var local, all []string
 	for address, e := range t.engines {
 		all = append(all, address)
 		if e.config.Domain == t.Domain {
-			near = append(near, address)
+			local = append(local, address)
 		}
 	}
 	if len(all) <= maxFullyFollowed {
 		return all
 	}
-	if len(near) == 0 {
-		near = all
+	if len(local) == 0 {
+		local = all
 	}
-	near = slices.DeleteFunc(near, func(address string) bool {
+	local = slices.DeleteFunc(local, func(address string) bool {
 		return !t.shouldFollow(address, t.engines[address], engineReportTimeout, now)
 	})
-	if len(near) > maxFollowed {
-		sort.Slice(near, func(a, b int) bool { return t.followRank(near[a]) < t.followRank(near[b]) })
-		for _, address := range near[maxFollowed:] {
+	if len(local) > maxFollowed {
+		sort.Slice(local, func(a, b int) bool { return t.followRank(local[a]) < t.followRank(local[b]) })
+		for _, address := range local[maxFollowed:] {
 			delete(t.reporting, address)
 		}
-		near = near[:maxFollowed]
+		local = local[:maxFollowed]
 	}
-	return near
+	return local
 }
 
 // followRank orders engines differently in each process, and nearly the same when some
@@ -149,23 +149,23 @@
 
 // enginesKnown decides Contents.Informed; k.mu is held.
 func (t *Tracker) enginesKnown(now time.Time) bool {
-	known, near, knownNear := 0, 0, 0
+	known, local, knownLocal := 0, 0, 0
 	for _, e := range t.engines {
 		fresh := e.known && now.Sub(e.lastAnswer) <= engineFreshFor
 		if fresh {
 			known++
 		}
 		if e.config.Domain == t.Domain {
-			near++
+			local++
 			if fresh {
-				knownNear++
+				knownLocal++
 			}
 		}
 	}
-	if near == 0 {
+	if local == 0 {
 		return known > 0 && 2*known >= len(t.engines)
 	}
-	return knownNear > 0 && 2*knownNear >= near
+	return knownLocal > 0 && 2*knownLocal >= local
 }
 
 func (s *store) residentPrefix(salt string, segments []Segment) ResidentPrefix {
--- a/internal/coordination/contextcache/store.go
+++ b/internal/coordination/contextcache/store.go
@@ -178,9 +178,9 @@
 	return true
 }
 
-// fillTime is the time within which a store's room may run out at its share of what is saved.
+// minFillTime is the time within which a store's room may run out at its share of what is saved.
 // The saves underway of other processes are not known for about half a second.
-const fillTime = 2 * time.Second
+const minFillTime = 2 * time.Second
 
 // saveWeight is a store's share of the contexts that are saved: its link's rate. Imports and
 // saves ask more of the links than of the memory: in proportion to memory five stores of 29 GB/s
@@ -198,7 +198,7 @@
 	if tokenBytes <= 0 {
 		return link
 	}
-	return min(link, float64(max(0, s.freeCapacity())*tokenBytes)/fillTime.Seconds())
+	return min(link, float64(max(0, s.freeCapacity())*tokenBytes)/minFillTime.Seconds())
 }
 
 // freeCapacity is how many more tokens may be saved, as far as is known.
--- a/internal/coordination/contextcache/tracker.go
+++ b/internal/coordination/contextcache/tracker.go
@@ -36,7 +36,7 @@
 	Now func() time.Time
 	// OnEngineStart, if set, is called when an engine's events tell of a start that they had not
 	// told of before.
-	OnEngineStart func(address string, born int64)
+	OnEngineStart func(address string, startMS int64)
 
 	mu     sync.Mutex
 	stores map[string]*store
@@ -56,8 +56,8 @@
 }
 
 // NewTracker returns a keeper that knows no store.
-func NewTracker(feed Client, log *zap.Logger, domain string, now func() time.Time) *Tracker {
-	return &Tracker{Client: feed, Log: log, Domain: domain, Now: now, stores: map[string]*store{}, engines: map[string]*store{}, changed: make(chan struct{}, 1)}
+func NewTracker(client Client, log *zap.Logger, domain string, now func() time.Time) *Tracker {
+	return &Tracker{Client: client, Log: log, Domain: domain, Now: now, stores: map[string]*store{}, engines: map[string]*store{}, changed: make(chan struct{}, 1)}
 }
 
 // SetStores tells which stores the configuration names.
@@ -177,19 +177,19 @@
 	next, ok := t.nextEvent(address)
 	if !ok {
 		call, cancel := context.WithTimeout(ctx, listTimeout)
-		began := t.Now()
+		requestedAt := t.Now()
 		listing, err := t.Client.List(call, address)
 		cancel()
 		if err != nil {
 			return err
 		}
-		next, ok = t.applyListing(address, listing, began)
+		next, ok = t.applyListing(address, listing, requestedAt)
 	}
 	p := pollPace{maxWait: eventWait}
 	for ok && p.pauseBeforeCall(ctx) {
 		p.reporting = t.isReporting(address)
 		call, cancel := context.WithTimeout(ctx, p.callWait()+callMargin)
-		began := t.Now()
+		requestedAt := t.Now()
 		events, err := t.Client.Events(call, address, next, p.callWait())
 		cancel()
 		if errors.Is(err, ErrTooManyCalls) {
@@ -200,7 +200,7 @@
 		if err != nil {
 			return err
 		}
-		next, ok = t.applyEvents(address, events, began)
+		next, ok = t.applyEvents(address, events, requestedAt)
 	}
 	return nil
 }
--- a/internal/coordination/contextcache/tracker_test.go
+++ b/internal/coordination/contextcache/tracker_test.go
@@ -18,49 +18,49 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 const (
-	near = "10.0.0.1:1"
-	far  = "10.0.0.2:1"
+	localStore  = "10.0.0.1:1"
+	remoteStore = "10.0.0.2:1"
 )
 
-// clock is a time that tests set.
-type clock struct{ now time.Time }
+// fakeClock is a time that tests set.
+type fakeClock struct{ now time.Time }
 
-func (c *clock) Now() time.Time { return c.now }
+func (c *fakeClock) Now() time.Time { return c.now }
 
-// keeper has two stores that were just listed, both empty.
-func keeper(t *testing.T) (*Tracker, *clock) {
-	c := &clock{epoch}
-	k := NewTracker(nil, zap.NewNop(), "a", c.Now)
-	k.SetStores(map[string]*routes.Service{
-		"near": {Store: &routes.Store{Address: near, Domain: "a", MemoryTokens: 10_000}},
-		"far":  {Store: &routes.Store{Address: far, Domain: "b", MemoryTokens: 10_000}},
+// newTracker has two stores that were just listed, both empty.
+func newTracker(t *testing.T) (*Tracker, *fakeClock) {
+	c := &fakeClock{epoch}
+	tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
+	tracker.SetStores(map[string]*routes.Service{
+		"near": {Store: &routes.Store{Address: localStore, Domain: "a", MemoryTokens: 10_000}},
+		"far":  {Store: &routes.Store{Address: remoteStore, Domain: "b", MemoryTokens: 10_000}},
 		"llm":  {Engine: &routes.Engine{}},
 	})
-	for _, address := range []string{near, far} {
-		if _, ok := k.applyListing(address, Listing{Epoch: 7, Complete: map[SegmentKey]SegmentInfo{}}, c.now); !ok {
+	for _, address := range []string{localStore, remoteStore} {
+		if _, ok := tracker.applyListing(address, Listing{Epoch: 7, Complete: map[SegmentKey]SegmentInfo{}}, c.now); !ok {
 			t.Fatal("store is not known")
 		}
 	}
-	k.applyEvents(near, Events{Epoch: 7, ClockMS: c.now.UnixMilli() + 5000}, c.now)
-	return k, c
+	tracker.applyEvents(localStore, Events{Epoch: 7, ClockMS: c.now.UnixMilli() + 5000}, c.now)
+	return tracker, c
 }
 
 func added(salt, id string, tokens int) Change {
 	return Change{Added: true, Segment: SegmentKey{salt, id}, SegmentInfo: SegmentInfo{Tokens: tokens, Model: "m"}}
 }
 
-var parts = []Segment{{"p1", 500}, {"p2", 1500}}
+var testSegments = []Segment{{"p1", 500}, {"p2", 1500}}
 
-func (t *Tracker) mustPlan(salt string) (from, to []string, stored int) {
-	p := t.Plan(salt, "context", parts, "", 0)
+func (t *Tracker) plan(salt string) (from, to []string, stored int) {
+	p := t.Plan(salt, "context", testSegments, "", 0)
 	return p.ImportFrom, p.SaveTo, p.StoredTokens
 }
 
-// stored is how many tokens of a prompt may be imported from stores, from its first
+// storedTokens is how many tokens of a prompt may be imported from stores, from its first
 // part on.
-func (t *Tracker) stored(salt string, parts []Segment) int {
+func (t *Tracker) storedTokens(salt string, segments []Segment) int {
 	tokens := 0
-	for _, i := range t.Lookup(salt, parts).Segments {
+	for _, i := range t.Lookup(salt, segments).Segments {
 		if !i.Stored {
 			break
 		}
@@ -69,82 +69,82 @@
 	return tokens
 }
 
-// TestPartsAreImportedOnlyWhenWhole saves a prompt's parts and asks again at each
+// TestOnlyCompleteSegmentsAreImported saves a prompt's parts and asks again at each
 // stage of the save.
-func TestPartsAreImportedOnlyWhenWhole(t *testing.T) {
-	k, c := keeper(t)
-	from, to, stored := k.mustPlan("s.1")
+func TestOnlyCompleteSegmentsAreImported(t *testing.T) {
+	tracker, c := newTracker(t)
+	from, to, stored := tracker.plan("s.1")
 	if from[0] != "" || to[0] == "" || to[1] != to[0] || stored != 0 {
 		t.Fatalf("empty stores: from %q to %q, %d stored", from, to, stored)
 	}
 	target := to[0]
-	if from, to, _ = k.mustPlan("s.1"); from[0] != "" || to[0] != "" {
+	if from, to, _ = tracker.plan("s.1"); from[0] != "" || to[0] != "" {
 		t.Errorf("while the save is underway: from %q to %q", from, to)
 	}
-	k.applyEvents(target, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 300)}}, c.now)
-	if from, _, _ = k.mustPlan("s.1"); from[0] != "" {
+	tracker.applyEvents(target, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 300)}}, c.now)
+	if from, _, _ = tracker.plan("s.1"); from[0] != "" {
 		t.Error("a part of fewer tokens than asked for is imported")
 	}
-	k.applyEvents(target, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
-	from, to, stored = k.mustPlan("s.1")
+	tracker.applyEvents(target, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
+	from, to, stored = tracker.plan("s.1")
 	if from[0] != target || from[1] != target || to[0] != "" || stored != 2000 {
 		t.Errorf("whole: from %q to %q, %d stored", from, to, stored)
 	}
-	if from, _, stored = k.mustPlan("s.2"); from[0] != "" || stored != 0 {
+	if from, _, stored = tracker.plan("s.2"); from[0] != "" || stored != 0 {
 		t.Error("parts made by other weights are imported")
 	}
-	if until := k.Plan("s.1", "context", parts, "", 0).ImportDeadline; until != c.now.UnixMilli()+5000+maxImportTime.Milliseconds() {
+	if until := tracker.Plan("s.1", "context", testSegments, "", 0).ImportDeadline; until != c.now.UnixMilli()+5000+maxImportTime.Milliseconds() {
 		t.Errorf("imports end at %d", until)
 	}
 }
 
-// TestStoreThatFellSilentIsNotUsed freezes this process for two seconds; the store
+// TestSilentStoreIsNotUsed freezes this process for two seconds; the store
 // restarts meanwhile, and another process begins to save the same part again.
 //
 // The part is named by what the store said in its life before, and half of it would
 // enter an answer. A store is no source a second after its last word.
-func TestStoreThatFellSilentIsNotUsed(t *testing.T) {
-	k, c := keeper(t)
-	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500)}}, c.now)
-	if from, _, _ := k.mustPlan("s.1"); from[0] != near {
+func TestSilentStoreIsNotUsed(t *testing.T) {
+	tracker, c := newTracker(t)
+	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500)}}, c.now)
+	if from, _, _ := tracker.plan("s.1"); from[0] != localStore {
 		t.Fatalf("%q", from)
 	}
 	c.now = c.now.Add(2 * time.Second)
-	if from, to, _ := k.mustPlan("s.1"); from[0] != "" || to[0] != "" {
+	if from, to, _ := tracker.plan("s.1"); from[0] != "" || to[0] != "" {
 		t.Errorf("after the freeze: from %q to %q", from, to)
 	}
-	if k.stored("s.1", parts) != 0 {
+	if tracker.storedTokens("s.1", testSegments) != 0 {
 		t.Error("counted as stored")
 	}
-	if _, ok := k.applyEvents(near, Events{Epoch: 8}, c.now); ok {
+	if _, ok := tracker.applyEvents(localStore, Events{Epoch: 8}, c.now); ok {
 		t.Error("the new life's events are taken for the old one's")
 	}
-	if from, _, _ := k.mustPlan("s.1"); from[0] != "" {
+	if from, _, _ := tracker.plan("s.1"); from[0] != "" {
 		t.Error("a part of the life before is imported")
 	}
-	k.applyListing(near, Listing{Epoch: 8, Complete: map[SegmentKey]SegmentInfo{}, Partial: map[SegmentKey]int{{"s.1", "p1"}: 500}}, c.now)
-	if from, _, _ := k.mustPlan("s.1"); from[0] != "" {
+	tracker.applyListing(localStore, Listing{Epoch: 8, Complete: map[SegmentKey]SegmentInfo{}, Partial: map[SegmentKey]int{{"s.1", "p1"}: 500}}, c.now)
+	if from, _, _ := tracker.plan("s.1"); from[0] != "" {
 		t.Error("a part that is being written is imported")
 	}
 }
 
-func TestGapsAndRemovals(t *testing.T) {
-	k, c := keeper(t)
-	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
-	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{{Segment: SegmentKey{"s.1", "p1"}}}}, c.now)
-	if got := k.stored("s.1", parts); got != 0 {
+func TestEventGapsAndRemovals(t *testing.T) {
+	tracker, c := newTracker(t)
+	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
+	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{{Segment: SegmentKey{"s.1", "p1"}}}}, c.now)
+	if got := tracker.storedTokens("s.1", testSegments); got != 0 {
 		t.Errorf("%d tokens stored behind a part that is gone", got)
 	}
-	if _, ok := k.applyEvents(near, Events{Epoch: 7, Lost: true}, c.now); ok {
+	if _, ok := tracker.applyEvents(localStore, Events{Epoch: 7, Lost: true}, c.now); ok {
 		t.Error("a gap is passed over")
 	}
-	if from, _, _ := k.mustPlan("s.1"); from[1] != "" {
+	if from, _, _ := tracker.plan("s.1"); from[1] != "" {
 		t.Error("what was known before the gap is still used")
 	}
 }
 
-// TestSavesKeepToTheRoom fills a store; what is underway counts.
-func TestSavesKeepToTheRoom(t *testing.T) {
+// TestSavesStayWithinCapacity fills a store; what is underway counts.
+func TestSavesStayWithinCapacity(t *testing.T) {
 	s := newStore(routes.Store{MemoryTokens: 10_000})
 	s.loadListing(Listing{Complete: map[SegmentKey]SegmentInfo{{"s", "a"}: {Tokens: 4000}}, Partial: map[SegmentKey]int{{"s", "b"}: 2000}}, epoch)
 	if !s.tryBeginSave(SegmentKey{"s", "c"}, 3000, epoch) || s.tryBeginSave(SegmentKey{"s", "d"}, 3000, epoch) {
@@ -156,38 +156,38 @@
 	}
 }
 
-// TestObsoleteContext frees parts of replaced weights, and no others.
-func TestObsoleteContext(t *testing.T) {
-	k, c := keeper(t)
+// TestObsoleteSegmentsAreFreed frees parts of replaced weights, and no others.
+func TestObsoleteSegmentsAreFreed(t *testing.T) {
+	tracker, c := newTracker(t)
 	old, now := Salt("shared", "m", "1"), Salt("shared", "m", "2")
-	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{
+	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{
 		added(old, "p1", 1), added(now, "p1", 1), added("somebody else's", "p1", 1), added(old, "p2", 1),
 	}}, c.now)
-	if jobs := k.freeJobs(map[string]int64{"m": 1}); len(jobs) != 0 {
+	if jobs := tracker.freeJobs(map[string]int64{"m": 1}); len(jobs) != 0 {
 		t.Errorf("freed while an engine has the old weights: %v", jobs)
 	}
-	jobs := k.freeJobs(map[string]int64{"m": 2})
-	if job := jobs[near]; len(jobs) != 1 || job.epoch != 7 || len(job.segments) != 2 || job.segments[0].Salt != old {
+	jobs := tracker.freeJobs(map[string]int64{"m": 2})
+	if job := jobs[localStore]; len(jobs) != 1 || job.epoch != 7 || len(job.segments) != 2 || job.segments[0].Salt != old {
 		t.Errorf("%v", jobs)
 	}
 	c.now = c.now.Add(2 * storeFreshFor)
-	if jobs := k.freeJobs(map[string]int64{"m": 2}); len(jobs) != 0 {
+	if jobs := tracker.freeJobs(map[string]int64{"m": 2}); len(jobs) != 0 {
 		t.Error("freed in a store that may have restarted")
 	}
 }
 
-// TestContextsSpreadByLinks places many contexts on stores of unequal links, of which the
+// TestContextsAreDistributedByLinkRate places many contexts on stores of unequal links, of which the
 // slowest has the most memory, and on stores that tell no link's rate.
 //
 // Links are what imports and saves wait for: each store gets contexts as its link goes.
 // Where no rate is told, memory decides.
-func TestContextsSpreadByLinks(t *testing.T) {
+func TestContextsAreDistributedByLinkRate(t *testing.T) {
 	const n = 10_000
 	linked := map[string]routes.Store{
 		"a": {LinkBytesPerSecond: 100, MemoryTokens: 9000}, "b": {LinkBytesPerSecond: 100, MemoryTokens: 10}, "c": {LinkBytesPerSecond: 800, MemoryTokens: 10},
 	}
-	untold := map[string]routes.Store{"a": {MemoryTokens: 100}, "b": {MemoryTokens: 100}, "c": {MemoryTokens: 800}}
-	for _, stores := range []map[string]routes.Store{linked, untold} {
+	withoutRate := map[string]routes.Store{"a": {MemoryTokens: 100}, "b": {MemoryTokens: 100}, "c": {MemoryTokens: 800}}
+	for _, stores := range []map[string]routes.Store{linked, withoutRate} {
 		counts := map[string]int{}
 		for i := range n {
 			best, rank := "", 0.0
@@ -206,31 +206,31 @@
 	}
 }
 
-func TestEnginesMemory(t *testing.T) {
-	c := &clock{epoch}
-	k := NewTracker(nil, zap.NewNop(), "a", c.Now)
-	k.SetEngines(map[string]Engine{near: {Domain: "a"}, far: {Domain: "b"}})
-	if k.Lookup("s", nil).EnginesKnown {
+func TestEngineCacheContents(t *testing.T) {
+	c := &fakeClock{epoch}
+	tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
+	tracker.SetEngines(map[string]Engine{localStore: {Domain: "a"}, remoteStore: {Domain: "b"}})
+	if tracker.Lookup("s", nil).EnginesKnown {
 		t.Error("informed before any word")
 	}
-	k.applyEngineEvents(near, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500), added("s", "p2", 1500)}})
-	k.applyEngineEvents(far, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p2", 1500)}})
-	resident := k.Lookup("s", parts).Resident
-	if !k.Lookup("s", nil).EnginesKnown || len(resident) != 1 || resident[0] != (ResidentPrefix{near, 2000, 2}) {
+	tracker.applyEngineEvents(localStore, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500), added("s", "p2", 1500)}})
+	tracker.applyEngineEvents(remoteStore, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p2", 1500)}})
+	resident := tracker.Lookup("s", testSegments).Resident
+	if !tracker.Lookup("s", nil).EnginesKnown || len(resident) != 1 || resident[0] != (ResidentPrefix{localStore, 2000, 2}) {
 		t.Errorf("%+v", resident)
 	}
-	k.applyEngineEvents(near, Events{Epoch: 2, Next: 1})
-	if len(k.Lookup("s", parts).Resident) != 0 {
+	tracker.applyEngineEvents(localStore, Events{Epoch: 2, Next: 1})
+	if len(tracker.Lookup("s", testSegments).Resident) != 0 {
 		t.Error("a restarted engine still keeps what it had")
 	}
 	c.now = c.now.Add(2 * engineFreshFor)
-	if k.Lookup("s", nil).EnginesKnown {
+	if tracker.Lookup("s", nil).EnginesKnown {
 		t.Error("informed by old words")
 	}
 }
 
-// fakeStoreFeed is one store that restarts on command.
-type fakeStoreFeed struct {
+// fakeClient is one store that restarts on command.
+type fakeClient struct {
 	mu    sync.Mutex
 	epoch int64
 	down  bool
@@ -238,7 +238,7 @@
 	freed []SegmentKey
 }
 
-func (f *fakeStoreFeed) List(context.Context, string) (Listing, error) {
+func (f *fakeClient) List(context.Context, string) (Listing, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lists++
@@ -248,7 +248,7 @@
 	return Listing{Epoch: f.epoch, Complete: map[SegmentKey]SegmentInfo{{"s", "p1"}: {Tokens: 500, Model: "m"}}}, nil
 }
 
-func (f *fakeStoreFeed) Events(ctx context.Context, _ string, since int64, wait time.Duration) (Events, error) {
+func (f *fakeClient) Events(ctx context.Context, _ string, since int64, wait time.Duration) (Events, error) {
 	if !pause.For(ctx, wait) {
 		return Events{}, ctx.Err()
 	}
@@ -260,23 +260,23 @@
 	return Events{Epoch: f.epoch, Next: since, ClockMS: 1}, nil
 }
 
-func (f *fakeStoreFeed) Free(_ context.Context, _ string, _ int64, parts []SegmentKey) error {
+func (f *fakeClient) Free(_ context.Context, _ string, _ int64, parts []SegmentKey) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.freed = append(f.freed, parts...)
 	return nil
 }
 
-// TestEnginesThatHoldTooManyCalls lets engines of both domains refuse.
+// TestEnginesAtCallLimit lets engines of both domains refuse.
 //
 // One of another domain is left to its own domain's processes for long; what the
 // engines of this domain tell is enough to decide by.
-func TestEnginesThatHoldTooManyCalls(t *testing.T) {
-	c := &clock{epoch}
-	k := NewTracker(nil, zap.NewNop(), "a", c.Now)
-	k.SetEngines(map[string]Engine{near: {Domain: "a"}, far: {Domain: "b"}, "10.0.0.3:1": {Domain: "b"}})
-	k.applyEngineEvents(near, Events{Epoch: 1, Next: 5})
-	if !k.Lookup("s", nil).EnginesKnown {
+func TestEnginesAtCallLimit(t *testing.T) {
+	c := &fakeClock{epoch}
+	tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
+	tracker.SetEngines(map[string]Engine{localStore: {Domain: "a"}, remoteStore: {Domain: "b"}, "10.0.0.3:1": {Domain: "b"}})
+	tracker.applyEngineEvents(localStore, Events{Epoch: 1, Next: 5})
+	if !tracker.Lookup("s", nil).EnginesKnown {
 		t.Error("not informed though its own domain's engine is known")
 	}
 	rows := []struct {
@@ -284,44 +284,44 @@
 		err     error
 		want    time.Duration
 	}{
-		{far, ErrTooManyCalls, remoteRetryDelay}, {far, errors.New("reset"), engineRetryDelay}, {near, ErrTooManyCalls, 0}, {"gone", ErrTooManyCalls, engineRetryDelay},
+		{remoteStore, ErrTooManyCalls, remoteRetryDelay}, {remoteStore, errors.New("reset"), engineRetryDelay}, {localStore, ErrTooManyCalls, 0}, {"gone", ErrTooManyCalls, engineRetryDelay},
 	}
 	for _, row := range rows {
-		if got := k.handleEngineFailure(row.address, row.err); got != row.want {
+		if got := tracker.handleEngineFailure(row.address, row.err); got != row.want {
 			t.Errorf("%s after %v: %s", row.address, row.err, got)
 		}
 	}
-	if !k.Lookup("s", nil).EnginesKnown {
+	if !tracker.Lookup("s", nil).EnginesKnown {
 		t.Error("what an engine told is forgotten because it holds too many calls")
 	}
 	c.now = c.now.Add(2 * engineFreshFor)
-	if k.Lookup("s", nil).EnginesKnown {
+	if tracker.Lookup("s", nil).EnginesKnown {
 		t.Error("informed by an engine that refuses for long")
 	}
 }
 
-// TestEventsGoOnAfterAFailedCall loses one call; the engine lives on.
-func TestEventsGoOnAfterAFailedCall(t *testing.T) {
-	c := &clock{epoch}
-	k := NewTracker(nil, zap.NewNop(), "a", c.Now)
-	k.SetEngines(map[string]Engine{near: {Domain: "a"}})
-	k.applyEngineEvents(near, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500)}})
-	k.handleEngineFailure(near, errors.New("reset"))
-	if len(k.Lookup("s", parts).Resident) != 0 {
+// TestEventsContinueAfterFailedCall loses one call; the engine lives on.
+func TestEventsContinueAfterFailedCall(t *testing.T) {
+	c := &fakeClock{epoch}
+	tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
+	tracker.SetEngines(map[string]Engine{localStore: {Domain: "a"}})
+	tracker.applyEngineEvents(localStore, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500)}})
+	tracker.handleEngineFailure(localStore, errors.New("reset"))
+	if len(tracker.Lookup("s", testSegments).Resident) != 0 {
 		t.Error("used while it does not answer")
 	}
-	k.applyEngineEvents(near, Events{Epoch: 1, Next: 6, Changes: []Change{added("s", "p2", 1500)}})
-	if r := k.Lookup("s", parts).Resident; len(r) != 1 || r[0].Segments != 2 {
+	tracker.applyEngineEvents(localStore, Events{Epoch: 1, Next: 6, Changes: []Change{added("s", "p2", 1500)}})
+	if r := tracker.Lookup("s", testSegments).Resident; len(r) != 1 || r[0].Segments != 2 {
 		t.Errorf("what was known before the failure is lost: %+v", r)
 	}
 }
 
-// TestLargeFleetFollowsItsOwnDomain follows the engines of two fleets.
+// TestLargeFleetFollowsOwnDomain follows the engines of two fleets.
 //
 // In the small one all are followed from their oldest event. In the large one only those
 // of the own domain are, from their next event on: the events of 55 engines and what they
 // remember would fill a small host's link, and callers' answers wait behind them.
-func TestLargeFleetFollowsItsOwnDomain(t *testing.T) {
+func TestLargeFleetFollowsOwnDomain(t *testing.T) {
 	rows := []struct {
 		engines, want int
 		from          int64
@@ -330,36 +330,36 @@
 		{12, 12, 0, "a"}, {54, 18, fromNow, "a"}, {54, 54, fromNow, "a domain without engines"},
 	}
 	for _, row := range rows {
-		k := NewTracker(nil, zap.NewNop(), row.own, time.Now)
+		tracker := NewTracker(nil, zap.NewNop(), row.own, time.Now)
 		engines := map[string]Engine{}
 		for i := range row.engines {
 			engines[fmt.Sprintf("10.0.0.%d:1", i)] = Engine{Domain: string(rune('a' + i%3))}
 		}
-		k.SetEngines(engines)
-		if got, from := len(k.followers()), k.firstEngineEvent("10.0.0.0:1"); got != row.want || from != row.from {
+		tracker.SetEngines(engines)
+		if got, from := len(tracker.followers()), tracker.firstEngineEvent("10.0.0.0:1"); got != row.want || from != row.from {
 			t.Errorf("%d engines: %d followed from %d", row.engines, got, from)
 		}
 	}
 }
 
-// TestVeryLargeFleetIsFollowedInParts shows two processes a domain of 600 engines.
+// TestVeryLargeFleetIsDivided shows two processes a domain of 600 engines.
 //
 // Following all would take a small host's whole processor. Each follows a part, not the
 // same, and keeps nearly all of it when an engine leaves: each new one is read anew.
-func TestVeryLargeFleetIsFollowedInParts(t *testing.T) {
+func TestVeryLargeFleetIsDivided(t *testing.T) {
 	const count = 600
 	followed := func(self string, without int) map[string]bool {
-		k := NewTracker(nil, zap.NewNop(), "a", time.Now)
-		k.Self = self
+		tracker := NewTracker(nil, zap.NewNop(), "a", time.Now)
+		tracker.Self = self
 		engines := map[string]Engine{}
 		for i := range count {
 			if i != without {
 				engines[fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)] = Engine{Domain: "a"}
 			}
 		}
-		k.SetEngines(engines)
+		tracker.SetEngines(engines)
 		out := map[string]bool{}
-		for address := range k.followers() {
+		for address := range tracker.followers() {
 			out[address] = true
 		}
 		return out
@@ -378,78 +378,78 @@
 		t.Errorf("%d and %d followed, %d by both", len(one), len(other), common(one, other))
 	}
 	for without := range count {
-		if kept := common(one, followed("g1", without)); kept < maxFollowed-1 {
-			t.Fatalf("%d of %d still followed without engine %d", kept, maxFollowed, without)
+		if inBoth := common(one, followed("g1", without)); inBoth < maxFollowed-1 {
+			t.Fatalf("%d of %d still followed without engine %d", inBoth, maxFollowed, without)
 		}
 	}
 }
 
-// TestEngineBeforeStoreAsSource plans for a prompt whose first part two engines keep, one
+// TestEngineIsPreferredOverStore plans for a prompt whose first part two engines keep, one
 // of them the target, and whose second part an engine and a store hold.
-func TestEngineBeforeStoreAsSource(t *testing.T) {
-	k, c := keeper(t)
+func TestEngineIsPreferredOverStore(t *testing.T) {
+	tracker, c := newTracker(t)
 	const target, other = "10.0.1.1:1", "10.0.1.2:1"
-	k.SetEngines(map[string]Engine{target: {Domain: "a", TokenBytes: 1000, LinkBytesPerSecond: 1_000_000}, other: {Domain: "b", LinkBytesPerSecond: 1_000_000}})
-	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p2", 1500)}}, c.now)
-	k.applyEngineEvents(target, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
-	if p := k.Plan("s.1", "context", parts, target, 0); p.ImportFrom[0] != "" || p.ImportFrom[1] != near {
+	tracker.SetEngines(map[string]Engine{target: {Domain: "a", TokenBytes: 1000, LinkBytesPerSecond: 1_000_000}, other: {Domain: "b", LinkBytesPerSecond: 1_000_000}})
+	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "p2", 1500)}}, c.now)
+	tracker.applyEngineEvents(target, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
+	if p := tracker.Plan("s.1", "context", testSegments, target, 0); p.ImportFrom[0] != "" || p.ImportFrom[1] != localStore {
 		t.Errorf("%q", p.ImportFrom)
 	}
-	k.applyEngineEvents(other, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}})
-	if p := k.Plan("s.1", "context", parts, target, 0); p.ImportFrom[0] != other || p.ImportFrom[1] != other {
+	tracker.applyEngineEvents(other, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}})
+	if p := tracker.Plan("s.1", "context", testSegments, target, 0); p.ImportFrom[0] != other || p.ImportFrom[1] != other {
 		t.Errorf("%q", p.ImportFrom)
 	}
-	imports := k.Lookup("s.1", parts).Segments
+	imports := tracker.Lookup("s.1", testSegments).Segments
 	if len(imports) != 2 || !imports[1].Stored || imports[1].Domain != "b" || imports[1].TransferTime != 1500*time.Millisecond {
 		t.Errorf("%+v", imports)
 	}
 }
 
-// TestPartsThatTheTargetMayHaveLost plans for a prompt whose first part the target is said
+// TestSegmentsThatTargetMayHaveEvicted plans for a prompt whose first part the target is said
 // to keep while a store holds both parts.
 //
 // The target replaces the first part before the prompt arrives, and its event is still on
 // the way. An engine uses no part behind one that it lacks: without a source for the first
 // it reads both, though the second was imported.
-func TestPartsThatTheTargetMayHaveLost(t *testing.T) {
-	k, c := keeper(t)
+func TestSegmentsThatTargetMayHaveEvicted(t *testing.T) {
+	tracker, c := newTracker(t)
 	const target, other = "10.0.1.1:1", "10.0.1.2:1"
-	k.SetEngines(map[string]Engine{target: {Domain: "a"}, other: {Domain: "a"}})
-	k.applyEngineEvents(target, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
-	k.applyEngineEvents(other, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
-	if p := k.Plan("s.1", "context", parts, target, 0); p.ImportFrom[0] != other || p.ImportFrom[1] != "" {
+	tracker.SetEngines(map[string]Engine{target: {Domain: "a"}, other: {Domain: "a"}})
+	tracker.applyEngineEvents(target, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
+	tracker.applyEngineEvents(other, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
+	if p := tracker.Plan("s.1", "context", testSegments, target, 0); p.ImportFrom[0] != other || p.ImportFrom[1] != "" {
 		t.Errorf("held by another engine only: %q", p.ImportFrom)
 	}
-	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
-	if p := k.Plan("s.1", "context", parts, target, 0); p.ImportFrom[0] != near || p.ImportFrom[1] != near {
+	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
+	if p := tracker.Plan("s.1", "context", testSegments, target, 0); p.ImportFrom[0] != localStore || p.ImportFrom[1] != localStore {
 		t.Errorf("held by a store, which loses nothing by itself: %q", p.ImportFrom)
 	}
 }
 
-// TestFullStoreIsFollowedByTheNext saves more contexts than one store holds.
-func TestFullStoreIsFollowedByTheNext(t *testing.T) {
-	k, c := keeper(t)
-	k.applyEvents(near, Events{Epoch: 7, Changes: []Change{added("s.1", "other", 9_600)}}, c.now)
+// TestFullStoreIsSkipped saves more contexts than one store holds.
+func TestFullStoreIsSkipped(t *testing.T) {
+	tracker, c := newTracker(t)
+	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "other", 9_600)}}, c.now)
 	for i := range 8 {
-		p := k.Plan("s.1", fmt.Sprint("context ", i), []Segment{{fmt.Sprint("p", i), 1000}}, "", 0)
-		if p.SaveTo[0] != far {
+		p := tracker.Plan("s.1", fmt.Sprint("context ", i), []Segment{{fmt.Sprint("p", i), 1000}}, "", 0)
+		if p.SaveTo[0] != remoteStore {
 			t.Errorf("context %d goes to %q", i, p.SaveTo[0])
 		}
 	}
 }
 
-// TestImportsLeaveTimeToRead asks how long prompts may wait for imports that may not come.
+// TestImportDeadlineLeavesTimeForPrefill asks how long prompts may wait for imports that may not come.
 //
 // The engine reads a prompt whose import did not come in its time. Half of the objective is
 // left for that.
-func TestImportsLeaveTimeToRead(t *testing.T) {
+func TestImportDeadlineLeavesTimeForPrefill(t *testing.T) {
 	for objective, want := range map[time.Duration]time.Duration{
 		600 * time.Millisecond: 300 * time.Millisecond,
 		20 * time.Second:       maxImportTime,
 		0:                      maxImportTime,
 	} {
-		k, c := keeper(t)
-		if until := k.Plan("s.1", "context", parts, "", objective).ImportDeadline; until != c.now.Add(5*time.Second+want).UnixMilli() {
+		tracker, c := newTracker(t)
+		if until := tracker.Plan("s.1", "context", testSegments, "", objective).ImportDeadline; until != c.now.Add(5*time.Second+want).UnixMilli() {
 			t.Errorf("objective %s: until %d", objective, until)
 		}
 	}
