--- a/internal/coordination/contexttransfer/events.go
+++ b/internal/coordination/contexttransfer/events.go
@@ -45,7 +45,7 @@
 	m.resident.MarkEvicted(key)
 }
 
-func (m *Mover) used(keys ...contextkey.Key) {
+func (m *Mover) markUsed(keys ...contextkey.Key) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, key := range keys {
@@ -61,25 +61,25 @@
 	m.resident.Clear()
 }
 
-func (m *Mover) residentPieces(keys []contextkey.Key) int {
+func (m *Mover) residentChunks(keys []contextkey.Key) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.resident.ResidentPrefix(keys)
 }
 
-// returns learns how often contexts come back. Two generations bound its memory.
-type returns struct {
+// returnTracker learns how often contexts come back. Two generations bound its memory.
+type returnTracker struct {
 	mu                sync.Mutex
 	size              int
 	current, previous map[contextkey.Key]struct{}
 	share             float64
 }
 
-func newReturns(size int) *returns {
-	return &returns{size: size, current: map[contextkey.Key]struct{}{}, share: 0.5}
+func newReturnTracker(size int) *returnTracker {
+	return &returnTracker{size: size, current: map[contextkey.Key]struct{}{}, share: 0.5}
 }
 
-func (r *returns) saw(root contextkey.Key) {
+func (r *returnTracker) observe(root contextkey.Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, now := r.current[root]
@@ -96,7 +96,7 @@
 	}
 }
 
-func (r *returns) rate() float64 {
+func (r *returnTracker) rate() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.share
--- a/internal/coordination/contexttransfer/link.go
+++ b/internal/coordination/contexttransfer/link.go
@@ -20,15 +20,15 @@
 
 // Link is what one agent knows of the way to one store.
 type Link struct {
-	mu       sync.Mutex
-	rate     float64
-	nominal  float64
-	backlog  int64
-	failures int
-	until    time.Time
-	// credit of uploads in bytes, as of credited.
-	credit   float64
-	credited time.Time
+	mu             sync.Mutex
+	rate           float64
+	nominal        float64
+	backlog        int64
+	failures       int
+	suspendedUntil time.Time
+	// uploadCredit of uploads in bytes, as of credited.
+	uploadCredit float64
+	creditedAt   time.Time
 }
 
 // NewLink returns a link of a nominal rate in bytes a second.
@@ -38,7 +38,7 @@
 func (l *Link) Rate(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Before(l.until) {
+	if now.Before(l.suspendedUntil) {
 		return 0
 	}
 	return l.rate
@@ -68,7 +68,7 @@
 		l.failures++
 		if l.failures >= failuresToSuspend {
 			l.failures = 0
-			l.until = now.Add(suspendFor)
+			l.suspendedUntil = now.Add(suspendFor)
 		}
 		return
 	}
@@ -85,17 +85,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	perSecond := l.nominal * uploadShare / float64(max(1, agents))
-	most := max(perSecond*uploadBurst.Seconds(), float64(bytes))
-	if l.credited.IsZero() {
-		l.credit = most
+	maxCredit := max(perSecond*uploadBurst.Seconds(), float64(bytes))
+	if l.creditedAt.IsZero() {
+		l.uploadCredit = maxCredit
 	} else {
-		l.credit = min(most, l.credit+perSecond*now.Sub(l.credited).Seconds())
+		l.uploadCredit = min(maxCredit, l.uploadCredit+perSecond*now.Sub(l.creditedAt).Seconds())
 	}
-	l.credited = now
-	if now.Before(l.until) || l.credit < float64(bytes) {
+	l.creditedAt = now
+	if now.Before(l.suspendedUntil) || l.uploadCredit < float64(bytes) {
 		return false
 	}
-	l.credit -= float64(bytes)
+	l.uploadCredit -= float64(bytes)
 	return true
 }
 
--- a/internal/coordination/contexttransfer/mover.go
+++ b/internal/coordination/contexttransfer/mover.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// exportQueue bounds the contexts waiting to be copied; more are let go.
-	exportQueue = 256
-	// seenContexts bounds the contexts remembered for the return rate.
-	seenContexts = 100_000
-	// partSize is the size of one write to a store, in bytes.
-	partSize = 1 << 20
+	// exportQueueSize bounds the contexts waiting to be copied; more are let go.
+	exportQueueSize = 256
+	// maxSeenContexts bounds the contexts remembered for the return rate.
+	maxSeenContexts = 100_000
+	// writeSize is the size of one write to a store, in bytes.
+	writeSize = 1 << 20
 	// exportTimeout bounds the copy of one context.
 	exportTimeout = 30 * time.Second
 )
@@ -37,17 +37,17 @@
 	open    OpenStore
 	config  *config.Store
 	agents  func() int
-	zap     *zap.Logger
+	log     *zap.Logger
 	metrics metrics.Registry
 	exports *ring.Ring[export]
 
-	mu       sync.Mutex
-	links    map[string]*remote
-	resident *Residency
-	returns  *returns
+	mu         sync.Mutex
+	remoteByID map[string]*remote
+	resident   *Residency
+	returnRate *returnTracker
 	// stored remembers pieces that this agent copied or found on a store.
-	stored map[contextkey.Key]bool
-	hits   float64
+	stored  map[contextkey.Key]bool
+	hitRate float64
 }
 
 type remote struct {
@@ -71,9 +71,9 @@
 // NewMover returns a mover for an engine. agents tells how many share the links.
 func NewMover(eng engine.Engine, open OpenStore, store *config.Store, agents func() int, logger *zap.Logger, registry metrics.Registry) *Mover {
 	return &Mover{
-		engine: eng, open: open, config: store, agents: agents, zap: logger, metrics: registry,
-		exports: ring.New[export](exportQueue), links: map[string]*remote{}, resident: NewResidency(),
-		returns: newReturns(seenContexts), stored: map[contextkey.Key]bool{}, hits: 0.5,
+		engine: eng, open: open, config: store, agents: agents, log: logger, metrics: registry,
+		exports: ring.New[export](exportQueueSize), remoteByID: map[string]*remote{}, resident: NewResidency(),
+		returnRate: newReturnTracker(maxSeenContexts), stored: map[contextkey.Key]bool{}, hitRate: 0.5,
 	}
 }
 
@@ -81,17 +81,17 @@
 func (m *Mover) remoteOf(host *config.StoreHost) *remote {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r, ok := m.links[host.ID]
+	r, ok := m.remoteByID[host.ID]
 	if !ok || r.host.URL != host.URL || r.host.LinkBytesPerSecond != host.LinkBytesPerSecond {
 		r = &remote{host: host, kv: m.open(host.URL), link: NewLink(float64(host.LinkBytesPerSecond))}
-		m.links[host.ID] = r
+		m.remoteByID[host.ID] = r
 	}
 	return r
 }
 
 // remotes returns a piece's stores, best first.
-func (m *Mover) remotes(piece contextkey.Key, copies int) []*remote {
-	hosts := RankStores(m.config.View().StoreHosts, piece, copies)
+func (m *Mover) remotes(chunk contextkey.Key, copies int) []*remote {
+	hosts := RankStores(m.config.View().StoreHosts, chunk, copies)
 	out := make([]*remote, 0, len(hosts))
 	for _, h := range hosts {
 		out = append(out, m.remoteOf(h))
@@ -100,8 +100,8 @@
 }
 
 // LinkRate is how fast contexts come from the stores in use, in tokens a second.
-func (m *Mover) LinkRate(pieceBytes int64) int {
-	if pieceBytes <= 0 {
+func (m *Mover) LinkRate(chunkBytes int64) int {
+	if chunkBytes <= 0 {
 		return 0
 	}
 	hosts := m.config.View().StoreHosts
@@ -109,7 +109,7 @@
 	for _, h := range hosts {
 		total += m.remoteOf(h).link.Rate(time.Now())
 	}
-	return int(total / float64(max(1, len(hosts))) / float64(pieceBytes) * contextkey.PieceTokens)
+	return int(total / float64(max(1, len(hosts))) / float64(chunkBytes) * contextkey.PieceTokens)
 }
 
 // Prompt describes a run whose context may be moved.
@@ -128,12 +128,12 @@
 	if len(p.Keys) == 0 {
 		return 0
 	}
-	m.returns.saw(p.Keys[0])
-	plan := PlanImport(m.source(p, m.residentPieces(p.Keys)))
+	m.returnRate.observe(p.Keys[0])
+	plan := PlanImport(m.importInput(p, m.residentChunks(p.Keys)))
 	imported := 0
 	for _, key := range p.Keys[plan.From:plan.To] {
-		found := m.importPiece(ctx, p, key)
-		m.learn(key, found)
+		found := m.importChunk(ctx, p, key)
+		m.recordLookup(key, found)
 		if !found {
 			break
 		}
@@ -143,12 +143,12 @@
 	return imported * contextkey.PieceTokens
 }
 
-// source describes the choice for a prompt; the links of all its missing pieces
+// importInput describes the choice for a prompt; the links of all its missing pieces
 // count together.
-func (m *Mover) source(p Prompt, resident int) ImportInput {
+func (m *Mover) importInput(p Prompt, resident int) ImportInput {
 	now := time.Now()
 	s := ImportInput{
-		Chunks: len(p.Keys), Resident: resident, StoredProbability: m.storedChance(p.Keys[resident:]),
+		Chunks: len(p.Keys), Resident: resident, StoredProbability: m.storedProbability(p.Keys[resident:]),
 		ChunkBytes: p.Status.PieceBytes, PrefillRate: p.Status.PrefillRate, PrefillTokens: p.QueuedTokens, Objective: p.Service.Objective,
 	}
 	missing := p.Keys[resident:]
@@ -161,9 +161,9 @@
 	return s
 }
 
-// storedChance is certain for what this agent copied or found itself, else
+// storedProbability is certain for what this agent copied or found itself, else
 // learned from how often its look-ups found something.
-func (m *Mover) storedChance(keys []contextkey.Key) float64 {
+func (m *Mover) storedProbability(keys []contextkey.Key) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	sum := 0.0
@@ -172,44 +172,44 @@
 			sum++
 			continue
 		}
-		sum += m.hits
+		sum += m.hitRate
 	}
 	return sum / float64(max(1, len(keys)))
 }
 
-func (m *Mover) learn(key contextkey.Key, found bool) {
+func (m *Mover) recordLookup(key contextkey.Key, found bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	const weight, floor = 0.1, 0.05
 	if found {
-		m.remember(key)
-		m.hits += weight * (1 - m.hits)
+		m.markStored(key)
+		m.hitRate += weight * (1 - m.hitRate)
 		return
 	}
-	m.hits = max(floor, m.hits-weight*m.hits)
+	m.hitRate = max(floor, m.hitRate-weight*m.hitRate)
 	delete(m.stored, key)
 }
 
-// remember notes that a piece is on its store. The caller holds the lock.
-func (m *Mover) remember(key contextkey.Key) {
-	if len(m.stored) >= residentKept {
+// markStored notes that a piece is on its store. The caller holds the lock.
+func (m *Mover) markStored(key contextkey.Key) {
+	if len(m.stored) >= maxTrackedChunks {
 		clear(m.stored)
 	}
 	m.stored[key] = true
 }
 
-// patience is how long one piece may take: a store that froze or whose link
+// timeout is how long one piece may take: a store that froze or whose link
 // broke down must not hold up a prompt that the engine could compute meanwhile.
-func (r *remote) patience(bytes int64) time.Duration {
+func (r *remote) timeout(bytes int64) time.Duration {
 	const floor, slack = 200 * time.Millisecond, 4
 	nominal := time.Duration(float64(bytes) / float64(r.host.LinkBytesPerSecond) * float64(time.Second))
 	return max(floor, slack*nominal)
 }
 
-// importPiece reads one piece, verifies it and gives it to the engine. Nothing
+// importChunk reads one piece, verifies it and gives it to the engine. Nothing
 // that does not verify goes further: a freed slot, a torn or old block or
 // another customer's would otherwise be read into this caller's answer.
-func (m *Mover) importPiece(ctx context.Context, p Prompt, key contextkey.Key) bool {
+func (m *Mover) importChunk(ctx context.Context, p Prompt, key contextkey.Key) bool {
 	for _, r := range m.remotes(key, p.Service.Copies()) {
 		if m.importFrom(ctx, r, p, key) {
 			return true
@@ -220,7 +220,7 @@
 
 func (m *Mover) importFrom(ctx context.Context, r *remote, p Prompt, key contextkey.Key) bool {
 	bytes := p.Status.PieceBytes
-	ctx, cancel := context.WithTimeout(ctx, r.patience(bytes))
+	ctx, cancel := context.WithTimeout(ctx, r.timeout(bytes))
 	defer cancel()
 	started := time.Now()
 	r.link.Begin(bytes)
@@ -232,7 +232,7 @@
 	content, err := blockseal.Open(p.Customer.Salt, key, sealed)
 	if err != nil {
 		metrics.GetOrRegisterCounter("agent.import_refused", m.metrics).Inc(1)
-		m.zap.Warn("block refused", zap.String("store", r.host.ID), zap.String("request_id", p.RequestID), zap.Error(err))
+		m.log.Warn("block refused", zap.String("store", r.host.ID), zap.String("request_id", p.RequestID), zap.Error(err))
 		r.kv.Free(ctx, key)
 		return false
 	}
@@ -240,7 +240,7 @@
 		return false
 	}
 	metrics.GetOrRegisterCounter("agent.link_bytes", m.metrics).Inc(bytes)
-	m.used(key)
+	m.markUsed(key)
 	return true
 }
 
@@ -249,14 +249,14 @@
 	if len(p.Keys) == 0 {
 		return
 	}
-	m.used(p.Keys...)
-	missing := m.notCopied(p.Keys)
+	m.markUsed(p.Keys...)
+	missing := m.notStored(p.Keys)
 	remotes := m.remotes(p.Keys[0], 1)
 	if len(remotes) == 0 || len(missing) == 0 {
 		return
 	}
 	worth := BenefitRatio(CopyCandidate{
-		ReturnProbability: m.returns.rate(), ChunkBytes: p.Status.PieceBytes, PrefillRate: p.Status.PrefillRate,
+		ReturnProbability: m.returnRate.rate(), ChunkBytes: p.Status.PieceBytes, PrefillRate: p.Status.PrefillRate,
 		Objective: p.Service.Objective, LinkRate: remotes[0].link.Rate(time.Now()),
 	})
 	if worth >= 1 {
@@ -264,7 +264,7 @@
 	}
 }
 
-func (m *Mover) notCopied(keys []contextkey.Key) []contextkey.Key {
+func (m *Mover) notStored(keys []contextkey.Key) []contextkey.Key {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []contextkey.Key
@@ -302,23 +302,23 @@
 			metrics.GetOrRegisterCounter("agent.export_no_budget", m.metrics).Inc(1)
 			return
 		}
-		if !m.exportPiece(ctx, r[0], e, key) {
+		if !m.exportChunk(ctx, r[0], e, key) {
 			return
 		}
 		m.mu.Lock()
-		m.remember(key)
+		m.markStored(key)
 		m.mu.Unlock()
 	}
 }
 
-func (m *Mover) exportPiece(ctx context.Context, r *remote, e export, key contextkey.Key) bool {
+func (m *Mover) exportChunk(ctx context.Context, r *remote, e export, key contextkey.Key) bool {
 	content, err := m.engine.Export(ctx, key)
 	if err != nil {
 		return false
 	}
 	started := time.Now()
 	r.link.Begin(e.bytes)
-	err = write(ctx, r.kv, key, blockseal.Seal(e.customer.Salt, key, content))
+	err = writeBlock(ctx, r.kv, key, blockseal.Seal(e.customer.Salt, key, content))
 	r.link.End(e.bytes, time.Since(started), err == nil || isFull(err), time.Now())
 	if err != nil {
 		return false
@@ -328,15 +328,15 @@
 	return true
 }
 
-// write stores a block in parts and seals it at the end: until then no reader
+// writeBlock stores a block in parts and seals it at the end: until then no reader
 // is given it.
-func write(ctx context.Context, kv kvstore.Store, key contextkey.Key, data []byte) error {
+func writeBlock(ctx context.Context, kv kvstore.Store, key contextkey.Key, data []byte) error {
 	slot, err := kv.Reserve(ctx, key, len(data))
 	if err != nil {
 		return err
 	}
-	for offset := 0; offset < len(data); offset += partSize {
-		end := min(offset+partSize, len(data))
+	for offset := 0; offset < len(data); offset += writeSize {
+		end := min(offset+writeSize, len(data))
 		if err := kv.Write(ctx, slot, offset, data[offset:end]); err != nil {
 			return err
 		}
--- a/internal/coordination/contexttransfer/placement.go
+++ b/internal/coordination/contexttransfer/placement.go
@@ -15,18 +15,18 @@
 // computes the same answer, and a lost store moves only its own pieces. The
 // pieces of one context lie on several stores, so that a long one uses several
 // links, and a prefix that many contexts share does not draw them all to one.
-func RankStores(stores []*config.StoreHost, piece contextkey.Key, copies int) []*config.StoreHost {
+func RankStores(stores []*config.StoreHost, chunk contextkey.Key, copies int) []*config.StoreHost {
 	ranked := append([]*config.StoreHost(nil), stores...)
 	sort.Slice(ranked, func(i, j int) bool {
-		return storeScore(ranked[i].ID, piece) > storeScore(ranked[j].ID, piece)
+		return storeScore(ranked[i].ID, chunk) > storeScore(ranked[j].ID, chunk)
 	})
 	return spreadDomains(ranked, copies)
 }
 
-func storeScore(id string, piece contextkey.Key) uint64 {
+func storeScore(id string, chunk contextkey.Key) uint64 {
 	var buf [8 + contextkey.Size]byte
 	binary.LittleEndian.PutUint64(buf[:], xxhash.Sum64String(id))
-	copy(buf[8:], piece[:])
+	copy(buf[8:], chunk[:])
 	return xxhash.Sum64(buf[:])
 }
 
--- a/internal/coordination/contexttransfer/plan.go
+++ b/internal/coordination/contexttransfer/plan.go
@@ -49,8 +49,8 @@
 // end or at the bend, and three candidates are enough.
 func PlanImport(s ImportInput) Plan {
 	missing := s.Chunks - s.Resident
-	all := s.cost(0)
-	best := Plan{From: s.Resident, To: s.Resident, Cost: all, CostRecompute: all}
+	recomputeAll := s.cost(0)
+	best := Plan{From: s.Resident, To: s.Resident, Cost: recomputeAll, CostRecompute: recomputeAll}
 	if missing <= 0 || s.LinkRate <= 0 || s.ChunkBytes <= 0 || s.StoredProbability <= 0 {
 		return best
 	}
@@ -64,7 +64,7 @@
 	return best
 }
 
-func (s ImportInput) rate() float64 {
+func (s ImportInput) prefillRate() float64 {
 	if s.PrefillRate > 0 {
 		return float64(s.PrefillRate)
 	}
@@ -72,7 +72,7 @@
 }
 
 func (s ImportInput) queueTime() time.Duration {
-	return time.Duration(float64(s.PrefillTokens) / s.rate() * float64(time.Second))
+	return time.Duration(float64(s.PrefillTokens) / s.prefillRate() * float64(time.Second))
 }
 
 // cost of importing n pieces: the chance that they are not there is paid as
@@ -85,9 +85,9 @@
 	if n > 0 {
 		transfer = (float64(s.LinkBacklog) + bytes) / s.LinkRate
 	}
-	ttft := max(transfer, s.queueTime().Seconds()) + recomputed/s.rate()
-	moved := hit * contextkey.PieceTokens
-	return s.Objective.WeightTTFT*ttft + s.Objective.WeightRecompute*recomputed/1000 + s.Objective.WeightLink*moved/1000
+	ttft := max(transfer, s.queueTime().Seconds()) + recomputed/s.prefillRate()
+	importedTokens := hit * contextkey.PieceTokens
+	return s.Objective.WeightTTFT*ttft + s.Objective.WeightRecompute*recomputed/1000 + s.Objective.WeightLink*importedTokens/1000
 }
 
 // CopyCandidate describes a context that could be copied to a store.
@@ -110,14 +110,14 @@
 	}
 	s := ImportInput{PrefillRate: c.PrefillRate}
 	seconds := float64(c.ChunkBytes) / c.LinkRate
-	recompute := c.Objective.WeightTTFT*contextkey.PieceTokens/s.rate() + c.Objective.WeightRecompute*contextkey.PieceTokens/1000
-	link := c.Objective.WeightLink * contextkey.PieceTokens / 1000
-	back := c.Objective.WeightTTFT*seconds + link
+	recomputeCost := c.Objective.WeightTTFT*contextkey.PieceTokens/s.prefillRate() + c.Objective.WeightRecompute*contextkey.PieceTokens/1000
+	linkCost := c.Objective.WeightLink * contextkey.PieceTokens / 1000
+	returnCost := c.Objective.WeightTTFT*seconds + linkCost
 	// Uploads keep nobody waiting: their time weighs a tenth of a caller's.
-	const uploadTime = 0.1
-	cost := c.Objective.WeightTTFT*seconds*uploadTime + link
+	const uploadWeight = 0.1
+	cost := c.Objective.WeightTTFT*seconds*uploadWeight + linkCost
 	if cost <= 0 {
 		cost = 1e-9
 	}
-	return c.ReturnProbability * max(0, recompute-back) / cost
+	return c.ReturnProbability * max(0, recomputeCost-returnCost) / cost
 }
--- a/internal/coordination/contexttransfer/residency.go
+++ b/internal/coordination/contexttransfer/residency.go
@@ -15,12 +15,12 @@
 // eviction event makes up for the lost ones before it.
 type Residency struct {
 	lastUsed map[contextkey.Key]time.Time
-	// gone is the newest last use among the pieces seen to be gone.
-	gone time.Time
+	// lastEvictedUse is the newest last use among the pieces seen to be lastEvictedUse.
+	lastEvictedUse time.Time
 }
 
-// residentKept bounds the pieces remembered.
-const residentKept = 200_000
+// maxTrackedChunks bounds the pieces remembered.
+const maxTrackedChunks = 200_000
 
 // NewResidency returns a belief in an empty memory.
 func NewResidency() *Residency {
@@ -29,20 +29,20 @@
 
 // MarkUsed tells that a run has used a piece, or that it was brought in.
 func (r *Residency) MarkUsed(key contextkey.Key, now time.Time) {
-	if len(r.lastUsed) >= residentKept {
-		r.dropGone()
+	if len(r.lastUsed) >= maxTrackedChunks {
+		r.dropEvicted()
 	}
 	r.lastUsed[key] = now
 }
 
-// dropGone makes room; if nothing is known to be gone, all is forgotten.
-func (r *Residency) dropGone() {
+// dropEvicted makes room; if nothing is known to be gone, all is forgotten.
+func (r *Residency) dropEvicted() {
 	for key, at := range r.lastUsed {
-		if !at.After(r.gone) {
+		if !at.After(r.lastEvictedUse) {
 			delete(r.lastUsed, key)
 		}
 	}
-	if len(r.lastUsed) >= residentKept {
+	if len(r.lastUsed) >= maxTrackedChunks {
 		clear(r.lastUsed)
 	}
 }
@@ -61,8 +61,8 @@
 		return
 	}
 	delete(r.lastUsed, key)
-	if at.After(r.gone) {
-		r.gone = at
+	if at.After(r.lastEvictedUse) {
+		r.lastEvictedUse = at
 	}
 }
 
@@ -73,7 +73,7 @@
 // probably resident.
 func (r *Residency) ResidentPrefix(keys []contextkey.Key) int {
 	for i, key := range keys {
-		if at, known := r.lastUsed[key]; !known || !at.After(r.gone) {
+		if at, known := r.lastUsed[key]; !known || !at.After(r.lastEvictedUse) {
 			return i
 		}
 	}
--- a/internal/coordination/contexttransfer/transfer_test.go
+++ b/internal/coordination/contexttransfer/transfer_test.go
@@ -24,12 +24,12 @@
 )
 
 var (
-	ttftOnly  = config.Objective{WeightTTFT: 1}
-	recompute = config.Objective{WeightTTFT: 0.01, WeightRecompute: 1, WeightLink: 0.2}
-	link      = config.Objective{WeightTTFT: 0.01, WeightRecompute: 0.2, WeightLink: 1}
+	ttftOnly        = config.Objective{WeightTTFT: 1}
+	recomputeSaving = config.Objective{WeightTTFT: 0.01, WeightRecompute: 1, WeightLink: 0.2}
+	linkSaving      = config.Objective{WeightTTFT: 0.01, WeightRecompute: 0.2, WeightLink: 1}
 )
 
-func TestDecide(t *testing.T) {
+func TestPlanImport(t *testing.T) {
 	base := contexttransfer.ImportInput{
 		Chunks: 10, StoredProbability: 1, ChunkBytes: 100 << 20, LinkRate: 1 << 30, PrefillRate: 8000, Objective: ttftOnly,
 	}
@@ -52,9 +52,9 @@
 			s.LinkRate, s.PrefillRate, s.PrefillTokens, s.LinkBacklog = 100<<20, 20000, 80000, 400<<20
 		}, 0},
 		{"who minds recomputing imports over a slow link", func(s *contexttransfer.ImportInput) {
-			s.LinkRate, s.PrefillRate, s.Objective = 100<<20, 20000, recompute
+			s.LinkRate, s.PrefillRate, s.Objective = 100<<20, 20000, recomputeSaving
 		}, 10},
-		{"who minds link use recomputes beside a fast link", func(s *contexttransfer.ImportInput) { s.Objective = link }, 0},
+		{"who minds link use recomputes beside a fast link", func(s *contexttransfer.ImportInput) { s.Objective = linkSaving }, 0},
 	}
 	for _, row := range rows {
 		s := base
@@ -67,12 +67,12 @@
 }
 
 // TestDecideIsBest compares the three candidates with every split.
-func FuzzDecideIsBest(f *testing.F) {
+func FuzzPlanImport(f *testing.F) {
 	f.Add(uint8(10), uint8(0), uint32(8000), uint32(80000), uint32(100), uint32(0), uint8(1), uint8(1), uint8(1))
-	f.Fuzz(func(t *testing.T, pieces, resident uint8, rate, waiting, linkMB, backlogMB uint32, a, b, c uint8) {
+	f.Fuzz(func(t *testing.T, chunks, resident uint8, rate, queued, linkMB, backlogMB uint32, a, b, c uint8) {
 		s := contexttransfer.ImportInput{
-			Chunks: int(pieces % 40), StoredProbability: 1, ChunkBytes: 100 << 20, LinkRate: float64(linkMB%5000) * (1 << 20),
-			LinkBacklog: int64(backlogMB%2000) << 20, PrefillRate: int(rate % 100_000), PrefillTokens: int(waiting % 1_000_000),
+			Chunks: int(chunks % 40), StoredProbability: 1, ChunkBytes: 100 << 20, LinkRate: float64(linkMB%5000) * (1 << 20),
+			LinkBacklog: int64(backlogMB%2000) << 20, PrefillRate: int(rate % 100_000), PrefillTokens: int(queued % 1_000_000),
 			Objective: config.Objective{WeightTTFT: float64(a), WeightRecompute: float64(b) / 100, WeightLink: float64(c) / 100},
 		}
 		s.Resident = min(int(resident), s.Chunks)
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestWorth(t *testing.T) {
+func TestBenefitRatio(t *testing.T) {
 	c := contexttransfer.CopyCandidate{ReturnProbability: 0.8, ChunkBytes: 100 << 20, PrefillRate: 8000, Objective: ttftOnly, LinkRate: 1 << 30}
 	if contexttransfer.BenefitRatio(c) < 1 {
 		t.Errorf("a likely return over a fast link: %g", contexttransfer.BenefitRatio(c))
@@ -95,7 +95,7 @@
 		"never returns":  func(c *contexttransfer.CopyCandidate) { c.ReturnProbability = 0 },
 		"link too slow":  func(c *contexttransfer.CopyCandidate) { c.LinkRate = 100 << 20 },
 		"link suspended": func(c *contexttransfer.CopyCandidate) { c.LinkRate = 0 },
-		"link is dear":   func(c *contexttransfer.CopyCandidate) { c.Objective = link },
+		"link is dear":   func(c *contexttransfer.CopyCandidate) { c.Objective = linkSaving },
 	} {
 		x := c
 		change(&x)
@@ -105,14 +105,14 @@
 	}
 }
 
-// TestPlacement looks that copies lie in different failure domains, that all
+// TestRankStores looks that copies lie in different failure domains, that all
 // compute the same, and that a lost store moves only its own contexts.
-func TestPlacement(t *testing.T) {
+func TestRankStores(t *testing.T) {
 	var stores []*config.StoreHost
 	for i := range 6 {
 		stores = append(stores, &config.StoreHost{ID: fmt.Sprint("s", i), Domain: fmt.Sprint("d", i%3)})
 	}
-	moved, mine := 0, 0
+	moved, onLost := 0, 0
 	const contexts = 600
 	for n := range contexts {
 		root := contextkey.Key{byte(n), byte(n >> 8)}
@@ -122,24 +122,24 @@
 		}
 		without := contexttransfer.RankStores(stores[1:], root, 1)
 		if two[0] == stores[0] {
-			mine++
+			onLost++
 		} else if without[0] != two[0] {
 			moved++
 		}
 	}
-	if moved != 0 || mine < contexts/12 || mine > contexts/3 {
-		t.Errorf("%d contexts of the lost store, %d others moved", mine, moved)
+	if moved != 0 || onLost < contexts/12 || onLost > contexts/3 {
+		t.Errorf("%d contexts of the lost store, %d others moved", onLost, moved)
 	}
 	if got := contexttransfer.RankStores(stores[:1], contextkey.Key{}, 2); len(got) != 1 {
 		t.Errorf("%d stores of one", len(got))
 	}
 }
 
-// TestLostEvents evicts pieces in the order of their use and loses most events.
+// TestResidencyWithLostEvents evicts pieces in the order of their use and loses most events.
 //
 // The agent hears of one eviction only; it must not believe in any piece that was
 // used before that one, nor give up those used after it.
-func TestLostEvents(t *testing.T) {
+func TestResidencyWithLostEvents(t *testing.T) {
 	r := contexttransfer.NewResidency()
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	var keys []contextkey.Key
@@ -166,13 +166,13 @@
 
 func TestLinkBudgetIsShared(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	const rate, agents, piece, seconds = 1000.0, 4, 20, 100
+	const rate, agents, chunk, seconds = 1000.0, 4, 20, 100
 	total := int64(0)
 	for range agents {
 		l := contexttransfer.NewLink(rate)
 		for ms := range seconds * 10 {
-			if l.AllowUpload(piece, agents, now.Add(time.Duration(ms)*100*time.Millisecond)) {
-				total += piece
+			if l.AllowUpload(chunk, agents, now.Add(time.Duration(ms)*100*time.Millisecond)) {
+				total += chunk
 			}
 		}
 	}
@@ -200,7 +200,7 @@
 	}
 }
 
-func TestOpenRefusesWhatIsNotTheBlock(t *testing.T) {
+func TestOpenRejectsAlteredBlocks(t *testing.T) {
 	salt, key := []byte("salt"), contextkey.Key{1}
 	sealed := blockseal.Seal(salt, key, []byte("the content"))
 	flip := func(at int) []byte {
@@ -236,8 +236,8 @@
 	})
 }
 
-// bench is one engine with a mover and a store, in a bubble.
-type bench struct {
+// fixture is one engine with a mover and a store, in a bubble.
+type fixture struct {
 	t       *testing.T
 	engine  *enginestandin.Engine
 	store   *kvstandin.Store
@@ -252,7 +252,7 @@
 	version   = "v1"
 )
 
-func withBench(t *testing.T, test func(b *bench)) {
+func runWithFixture(t *testing.T, test func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		store := config.NewStore()
 		documents := []config.Document{
@@ -264,45 +264,45 @@
 		if err := store.Apply(config.Change{Revision: 1, Puts: documents}); err != nil {
 			t.Fatal(err)
 		}
-		b := &bench{
+		f := &fixture{
 			t: t, store: kvstandin.New(1 << 30), metrics: metrics.NewRegistry(), view: store.View(),
 			engine: enginestandin.New(enginestandin.Config{Model: modelName, WeightVersion: version, Slots: 4, MaxQueue: 4, CacheBlocks: 4, PieceBytes: 1000}),
 		}
-		b.mover = contexttransfer.NewMover(b.engine, func(string) kvstore.Store { return b.store }, store, func() int { return 1 }, zap.NewNop(), b.metrics)
+		f.mover = contexttransfer.NewMover(f.engine, func(string) kvstore.Store { return f.store }, store, func() int { return 1 }, zap.NewNop(), f.metrics)
 		ctx, cancel := context.WithCancel(context.Background())
 		var group sync.WaitGroup
-		group.Go(func() { b.mover.RunExports(ctx) })
-		group.Go(func() { b.mover.FollowEvents(ctx, 100*time.Millisecond) })
-		test(b)
+		group.Go(func() { f.mover.RunExports(ctx) })
+		group.Go(func() { f.mover.FollowEvents(ctx, 100*time.Millisecond) })
+		test(f)
 		cancel()
 		group.Wait()
 	})
 }
 
-// ask runs a prompt as an agent does, and returns its answer and what was
+// runPrompt runs a prompt as an agent does, and returns its answer and what was
 // imported for it.
-func (b *bench) ask(customer, text string) (answer string, imported int) {
-	b.t.Helper()
-	b.runs++
-	c := b.view.Customers[customer]
+func (f *fixture) runPrompt(customer, text string) (answer string, imported int) {
+	f.t.Helper()
+	f.runs++
+	c := f.view.Customers[customer]
 	keys := contextkey.Chain(contextkey.Scope{Salt: c.Salt, Model: modelName, WeightVersion: version}, text)
-	status, _ := b.engine.Status(b.t.Context())
-	p := contexttransfer.Prompt{Customer: c, Service: b.view.Services["s"], Keys: keys, Status: status, RequestID: fmt.Sprint(b.runs)}
-	imported = b.mover.ImportContext(b.t.Context(), p)
-	stream, err := b.engine.Generate(b.t.Context(), engine.Request{
+	status, _ := f.engine.Status(f.t.Context())
+	p := contexttransfer.Prompt{Customer: c, Service: f.view.Services["s"], Keys: keys, Status: status, RequestID: fmt.Sprint(f.runs)}
+	imported = f.mover.ImportContext(f.t.Context(), p)
+	stream, err := f.engine.Generate(f.t.Context(), engine.Request{
 		RequestID: p.RequestID, Model: modelName, WeightVersion: version, Text: text, Blocks: keys, MaxTokens: 8,
 	})
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	var out strings.Builder
 	for {
 		e, err := stream.Next()
 		if err != nil {
-			b.t.Fatal(err)
+			f.t.Fatal(err)
 		}
 		if e.Started != nil {
-			b.mover.RecordComputed(p)
+			f.mover.RecordComputed(p)
 		}
 		out.WriteString(strings.Join(e.Tokens, ""))
 		if e.Finish != "" {
@@ -312,26 +312,26 @@
 	}
 }
 
-func text(name string) string {
+func promptText(name string) string {
 	return strings.Repeat(name+" ", 3*contextkey.PieceBytes/(len(name)+1)+1)
 }
 
-func want(text string) string {
+func wantAnswer(text string) string {
 	return strings.Join(enginestandin.Answer(text, version, 0, 8), "")
 }
 
-// TestWrongBlocksNeverReachAnAnswer returns to a context that left the engine,
+// TestCorruptBlocksNeverReachAnswer returns to a context that left the engine,
 // while its store host misbehaves in every way.
 //
 // The context was copied to the store and evicted. The caller's second prompt
 // gets the right answer each time: from the store if it is right, recomputed if
 // the store returns torn, flipped, freed or unsealed blocks, another block's
 // bytes or another customer's.
-func TestWrongBlocksNeverReachAnAnswer(t *testing.T) {
+func TestCorruptBlocksNeverReachAnswer(t *testing.T) {
 	rows := []struct {
 		name    string
 		wrongs  kvstandin.Wrongs
-		before  func(b *bench)
+		before  func(f *fixture)
 		imports bool
 	}{
 		{"a store that is right", kvstandin.Wrongs{}, nil, true},
@@ -339,30 +339,30 @@
 		{"flipped bits", kvstandin.Wrongs{Flipped: true}, nil, false},
 		{"another block's bytes", kvstandin.Wrongs{Misdirected: true}, nil, false},
 		{"freed blocks, correctly gone", kvstandin.Wrongs{}, freeAll, false},
-		{"a slot reserved again and half written", kvstandin.Wrongs{Unsealed: true}, halfWrite, false},
+		{"a slot reserved again and half written", kvstandin.Wrongs{Unsealed: true}, writeHalf, false},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			withBench(t, func(b *bench) {
-				prompt := text("oak")
+			runWithFixture(t, func(f *fixture) {
+				prompt := promptText("oak")
 				for range 2 { // the second visit makes a return likely enough to copy
-					if got, _ := b.ask("a", prompt); got != want(prompt) {
+					if got, _ := f.runPrompt("a", prompt); got != wantAnswer(prompt) {
 						t.Fatalf("first answer %q", got)
 					}
 				}
-				b.ask("b", prompt) // another customer's copy of the same text
-				b.ask("a", text("ash"))
-				b.ask("a", text("elm"))
-				if status, _ := b.store.Status(t.Context()); status.Used == 0 {
+				f.runPrompt("b", prompt) // another customer's copy of the same text
+				f.runPrompt("a", promptText("ash"))
+				f.runPrompt("a", promptText("elm"))
+				if status, _ := f.store.Status(t.Context()); status.Used == 0 {
 					t.Fatal("nothing was copied to the store")
 				}
 				if row.before != nil {
-					row.before(b)
+					row.before(f)
 				}
-				b.store.SetWrongs(row.wrongs)
-				got, imported := b.ask("a", prompt)
-				if got != want(prompt) {
-					t.Errorf("answer %q, want %q", got, want(prompt))
+				f.store.SetWrongs(row.wrongs)
+				got, imported := f.runPrompt("a", prompt)
+				if got != wantAnswer(prompt) {
+					t.Errorf("answer %q, want %q", got, wantAnswer(prompt))
 				}
 				if row.imports != (imported > 0) {
 					t.Errorf("imported %d tokens", imported)
@@ -373,23 +373,23 @@
 }
 
 func keysOf(customer string) []contextkey.Key {
-	return contextkey.Chain(contextkey.Scope{Salt: []byte(customer), Model: modelName, WeightVersion: version}, text("oak"))
+	return contextkey.Chain(contextkey.Scope{Salt: []byte(customer), Model: modelName, WeightVersion: version}, promptText("oak"))
 }
 
-func freeAll(b *bench) {
+func freeAll(f *fixture) {
 	for _, key := range keysOf("a") {
-		b.store.Free(b.t.Context(), key)
+		f.store.Free(f.t.Context(), key)
 	}
 }
 
-// halfWrite begins to write the blocks again and stops half-way, as an agent
+// writeHalf begins to write the blocks again and stops half-way, as an agent
 // that dies does.
-func halfWrite(b *bench) {
+func writeHalf(f *fixture) {
 	for _, key := range keysOf("a") {
-		slot, err := b.store.Reserve(b.t.Context(), key, 200)
+		slot, err := f.store.Reserve(f.t.Context(), key, 200)
 		if err != nil {
-			b.t.Fatal(err)
+			f.t.Fatal(err)
 		}
-		b.store.Write(b.t.Context(), slot, 0, []byte("half"))
+		f.store.Write(f.t.Context(), slot, 0, []byte("half"))
 	}
 }
