--- a/internal/coordination/contentreport/exchanger.go
+++ b/internal/coordination/contentreport/exchanger.go
@@ -14,9 +14,9 @@
 	"limpetwall/internal/transport/pause"
 )
 
-// tellEvery is the time between two rounds of reports: what a store holds must be fresh
+// sendInterval is the time between two rounds of reports: what a store holds must be fresh
 // within a second, and one of its followers' calls waits 0.3 s of that.
-const tellEvery = 200 * time.Millisecond
+const sendInterval = 200 * time.Millisecond
 
 // Tracker knows what stores and engines hold.
 type Tracker interface {
@@ -35,36 +35,36 @@
 }
 
 // Run exchanges reports until ctx ends.
-func (s *Exchanger) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { s.Group.Receive(ctx, s.take) })
-	for pause.For(ctx, tellEvery) {
-		s.tell()
+func (e *Exchanger) Run(ctx context.Context) {
+	var workers sync.WaitGroup
+	workers.Go(func() { e.Group.Receive(ctx, e.receive) })
+	for pause.For(ctx, sendInterval) {
+		e.send()
 	}
-	duties.Wait()
+	workers.Wait()
 }
 
-func (s *Exchanger) tell() {
-	hosts := s.Hosts()
+func (e *Exchanger) send() {
+	hosts := e.Hosts()
 	if len(hosts) == 0 {
 		return
 	}
-	messages, err := encode(s.Tracker.DrainReports())
+	messages, err := encode(e.Tracker.DrainReports())
 	if err != nil {
-		s.Log.Error("content report", zap.Error(err))
+		e.Log.Error("content report", zap.Error(err))
 	}
 	for _, data := range messages {
-		s.Group.Send(data, hosts)
+		e.Group.Send(data, hosts)
 	}
 }
 
-func (s *Exchanger) take(data []byte, from net.Addr) {
+func (e *Exchanger) receive(data []byte, from net.Addr) {
 	reports, err := decode(data)
 	if err != nil {
-		s.Log.Warn("content report does not decode", zap.Stringer("from", from), zap.Error(err))
+		e.Log.Warn("content report does not decode", zap.Stringer("from", from), zap.Error(err))
 		return
 	}
 	for _, r := range reports {
-		s.Tracker.ApplyReport(r)
+		e.Tracker.ApplyReport(r)
 	}
 }
--- a/internal/coordination/contentreport/exchanger_test.go
+++ b/internal/coordination/contentreport/exchanger_test.go
@@ -12,34 +12,34 @@
 	"limpetwall/internal/transport/datagram"
 )
 
-// contents tells one report over and over, and passes on what it hears.
-type contents struct {
-	tells []contextcache.Report
-	heard chan contextcache.Report
+// fakeTracker tells one report over and over, and passes on what it hears.
+type fakeTracker struct {
+	reports  []contextcache.Report
+	received chan contextcache.Report
 }
 
-func (c *contents) DrainReports() []contextcache.Report { return c.tells }
+func (c *fakeTracker) DrainReports() []contextcache.Report { return c.reports }
 
-func (c *contents) ApplyReport(r contextcache.Report) {
+func (c *fakeTracker) ApplyReport(r contextcache.Report) {
 	select {
-	case c.heard <- r:
+	case c.received <- r:
 	default:
 	}
 }
 
-func start(t *testing.T, host string, port uint16, other string, tells []contextcache.Report) (*contents, uint16) {
+func startExchanger(t *testing.T, host string, port uint16, other string, reports []contextcache.Report) (*fakeTracker, uint16) {
 	t.Helper()
 	group, err := datagram.Listen(netip.AddrPortFrom(netip.MustParseAddr(host), port))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &contents{tells: tells, heard: make(chan contextcache.Report, 1)}
-	s := &Exchanger{Group: group, Hosts: func() []netip.Addr { return []netip.Addr{netip.MustParseAddr(other)} }, Tracker: c, Log: zap.NewNop()}
+	c := &fakeTracker{reports: reports, received: make(chan contextcache.Report, 1)}
+	exchanger := &Exchanger{Group: group, Hosts: func() []netip.Addr { return []netip.Addr{netip.MustParseAddr(other)} }, Tracker: c, Log: zap.NewNop()}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		s.Run(ctx)
+		exchanger.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -48,12 +48,12 @@
 	return c, group.Port
 }
 
-// TestReportsReachTheOthers lets one of two processes tell what a store holds; bytes that are no
+// TestReportsReachOtherProcesses lets one of two processes tell what a store holds; bytes that are no
 // report come between.
-func TestReportsReachTheOthers(t *testing.T) {
+func TestReportsReachOtherProcesses(t *testing.T) {
 	report := contextcache.Report{Address: "10.0.0.1:1", Epoch: 3, AsOf: 5, Next: 2}
-	_, port := start(t, "127.0.0.51", 0, "127.0.0.52", []contextcache.Report{report})
-	hearer, _ := start(t, "127.0.0.52", port, "127.0.0.51", nil)
+	_, port := startExchanger(t, "127.0.0.51", 0, "127.0.0.52", []contextcache.Report{report})
+	receiver, _ := startExchanger(t, "127.0.0.52", port, "127.0.0.51", nil)
 	stray, err := datagram.Listen(netip.MustParseAddrPort("127.0.0.53:0"))
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 	stray.Port = port
 	stray.Send([]byte("\xff no report"), []netip.Addr{netip.MustParseAddr("127.0.0.52")})
 	select {
-	case got := <-hearer.heard:
+	case got := <-receiver.received:
 		if got.Address != report.Address || got.Epoch != 3 || got.AsOf != 5 || got.Next != 2 {
 			t.Errorf("%+v", got)
 		}
--- a/internal/coordination/contentreport/format.go
+++ b/internal/coordination/contentreport/format.go
@@ -15,13 +15,13 @@
 // Bytes that the parts of a message take at most, besides their texts: two indices, tokens,
 // a number and the fields' own keys.
 const (
-	reportBytes = 40
-	changeBytes = 24
-	textBytes   = 3
+	reportOverhead = 40
+	changeOverhead = 24
+	stringOverhead = 3
 )
 
-// errReport tells that a message does not say what a report says.
-const errReport = errors.ConstError("not a report of contents")
+// errInvalidReport tells that a message does not say what a report says.
+const errInvalidReport = errors.ConstError("not a report of contents")
 
 // message is one datagram in the making.
 type message struct {
@@ -43,29 +43,29 @@
 		return errors.Trace(err)
 	}
 	for _, r := range reports {
-		if !m.begin(r) {
+		if !m.beginReport(r) {
 			if err := flush(); err != nil {
 				return out, err
 			}
-			m.begin(r)
+			m.beginReport(r)
 		}
 		for _, c := range r.Changes {
-			if m.add(r, c) {
+			if m.addChange(r, c) {
 				continue
 			}
 			if err := flush(); err != nil {
 				return out, err
 			}
-			m.begin(r)
-			m.add(r, c)
+			m.beginReport(r)
+			m.addChange(r, c)
 		}
 	}
 	return out, flush()
 }
 
-// begin starts a report; false if the message has no room for it.
-func (m *message) begin(r contextcache.Report) bool {
-	size := reportBytes + len(r.Address)
+// beginReport starts a report; false if the message has no room for it.
+func (m *message) beginReport(r contextcache.Report) bool {
+	size := reportOverhead + len(r.Address)
 	if m.size+size > datagram.MaxSize {
 		return false
 	}
@@ -74,15 +74,15 @@
 	return true
 }
 
-// add adds a change to the report that was begun last; false if there is no room for it.
-func (m *message) add(r contextcache.Report, c contextcache.Change) bool {
-	size := changeBytes + len(c.Segment.ID)
+// addChange adds a change to the report that was begun last; false if there is no room for it.
+func (m *message) addChange(r contextcache.Report, c contextcache.Change) bool {
+	size := changeOverhead + len(c.Segment.ID)
 	salt, model := slices.Index(m.Salts, c.Segment.Salt), slices.Index(m.Models, c.Model)
 	if salt < 0 {
-		size += textBytes + len(c.Segment.Salt)
+		size += stringOverhead + len(c.Segment.Salt)
 	}
 	if model < 0 {
-		size += textBytes + len(c.Model)
+		size += stringOverhead + len(c.Model)
 	}
 	if m.size+size > datagram.MaxSize {
 		return false
@@ -124,14 +124,14 @@
 func decodeContents(m *wire.ContentReport, contents *wire.Contents) (contextcache.Report, error) {
 	r := contextcache.Report{Address: contents.GetAddress(), Epoch: contents.GetEpoch(), AsOf: contents.GetAsOfMs(), Next: contents.GetNext()}
 	if _, err := netip.ParseAddrPort(r.Address); err != nil {
-		return r, errors.WithType(err, errReport)
+		return r, errors.WithType(err, errInvalidReport)
 	}
 	if r.AsOf < 0 || r.Next < 0 {
-		return r, errors.Annotatef(errReport, "as of %d, next %d", r.AsOf, r.Next)
+		return r, errors.Annotatef(errInvalidReport, "as of %d, next %d", r.AsOf, r.Next)
 	}
 	for i, c := range contents.GetChanges() {
 		if int(c.GetSalt()) >= len(m.GetSalts()) || int(c.GetModel()) >= len(m.GetModels()) || c.GetId() == "" || c.GetBeforeNext() > uint64(r.Next) {
-			return r, errors.Annotatef(errReport, "change %d", i)
+			return r, errors.Annotatef(errInvalidReport, "change %d", i)
 		}
 		r.Changes = append(r.Changes, contextcache.Change{
 			Number: r.Next - int64(c.GetBeforeNext()), Added: c.GetTokens() > 0,
--- a/internal/coordination/contentreport/format_test.go
+++ b/internal/coordination/contentreport/format_test.go
@@ -29,9 +29,9 @@
 	return append(out, contextcache.Report{Address: "10.0.0.9:8080", Epoch: 1, Next: 1})
 }
 
-// TestReportsAreDivided encodes more than a datagram holds: each fits, and together they say
+// TestReportsAreSplitIntoDatagrams encodes more than a datagram holds: each fits, and together they say
 // the same, also of a store that has no change.
-func TestReportsAreDivided(t *testing.T) {
+func TestReportsAreSplitIntoDatagrams(t *testing.T) {
 	want := manyReports()
 	messages, err := encode(want)
 	if err != nil {
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestReportsThatSayNothing refuses what no process would tell.
-func TestReportsThatSayNothing(t *testing.T) {
-	good := func() *wire.ContentReport {
+// TestInvalidReportsAreRejected refuses what no process would tell.
+func TestInvalidReportsAreRejected(t *testing.T) {
+	validReport := func() *wire.ContentReport {
 		return &wire.ContentReport{Salts: []string{"s"}, Models: []string{"m"}, Contents: []*wire.Contents{{
 			Address: "10.0.0.1:1", Next: 5, Changes: []*wire.ContentChange{{Id: "p", Tokens: 1, BeforeNext: 1}},
 		}}}
@@ -78,9 +78,9 @@
 		"an event before any":   func(m *wire.ContentReport) { m.Contents[0].Changes[0].BeforeNext = 6 },
 		"an event far before 0": func(m *wire.ContentReport) { m.Contents[0].Changes[0].BeforeNext = 1 << 63 },
 	}
-	for name, spoil := range rows {
-		m := good()
-		spoil(m)
+	for name, invalidate := range rows {
+		m := validReport()
+		invalidate(m)
 		data, err := proto.Marshal(m)
 		if err != nil {
 			t.Fatal(err)
@@ -89,7 +89,7 @@
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
-	data, err := proto.Marshal(good())
+	data, err := proto.Marshal(validReport())
 	if err != nil {
 		t.Fatal(err)
 	}
