--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -152,7 +152,7 @@
 	})
 	state.Now, state.RetireAfter = bootclock.Now, b.WeightsInForce-retireEarly
 	state.BeginWithin = b.WeightsInForce - beginMargin
-	keeper.OnEngineStart = state.StartedAt
+	keeper.OnEngineStart = state.ObserveStartByAddress
 	storeDialer := upstream.Dialer{Connect: storeConnect, Silence: silence}
 	storeTransport := &http.Transport{DialContext: storeDialer.Dial, MaxIdleConnsPerHost: 8, DisableCompression: true}
 	store := platform.NewStore(s.Platform.Store, storeTransport)
--- a/internal/command/gateway_peers.go
+++ b/internal/command/gateway_peers.go
@@ -61,7 +61,7 @@
 		p.log.Error("the rollout lease is not told to other gateways", zap.Error(err))
 		return
 	}
-	caster := &leasenotice.Broadcaster{Group: group, Hosts: sharer.Hosts, OnNotice: director.Lease.Told, Log: p.log}
+	caster := &leasenotice.Broadcaster{Group: group, Hosts: sharer.Hosts, OnNotice: director.Lease.ObserveRenewal, Log: p.log}
 	director.Notices = caster
 	p.run(caster.Run)
 }
--- a/internal/coordination/discovery/lives.go
+++ b/internal/coordination/discovery/addressconflict.go
@@ -90,10 +90,10 @@
 	s.put(k, fleet.Dead)
 }
 
-// Misdirected records that another instance answers at an instance's address. An entry
+// MarkMisdirected records that another instance answers at an instance's address. An entry
 // that waits for it is used from now on: a process that starts when both are listed can't
 // tell by their revisions which came first.
-func (s *State) Misdirected(id string) {
+func (s *State) MarkMisdirected(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k, ok := s.instances[id]
--- a/internal/coordination/discovery/feed_test.go
+++ b/internal/coordination/discovery/feed_test.go
@@ -156,8 +156,8 @@
 	return i, json.Unmarshal(r.Spec, &i.Leaving)
 }
 
-func (fakeDecoder) Weights(r objectapi.Record) (Named, error) {
-	n := Named{Model: r.Name, Revision: r.Revision}
+func (fakeDecoder) Weights(r objectapi.Record) (TargetWeights, error) {
+	n := TargetWeights{Model: r.Name, Revision: r.Revision}
 	return n, json.Unmarshal(r.Spec, &n.Version)
 }
 
--- a/internal/coordination/discovery/restart_test.go
+++ b/internal/coordination/discovery/restart_test.go
@@ -44,17 +44,17 @@
 			s.SetInstance(engine(200, 6, 2, 0))
 			s.SetInstance(engine(100, 7, 2, 9))
 		}, 200, 2, 0, false, true},
-		{"a report before the entry", func(s *State) { s.Started("i", 200, 2) }, 200, 2, 0, false, true},
+		{"a report before the entry", func(s *State) { s.ObserveStart("i", 200, 2) }, 200, 2, 0, false, true},
 		{"a report, then the earlier start's entry", func(s *State) {
-			s.Started("i", 200, 2)
+			s.ObserveStart("i", 200, 2)
 			s.SetInstance(engine(100, 6, 2, 5))
 		}, 200, 2, 0, false, true},
 		{"a report of the earlier start that arrives late", func(s *State) {
 			s.SetInstance(engine(200, 6, 1, 0))
-			s.Started("i", 100, 3)
+			s.ObserveStart("i", 100, 3)
 		}, 200, 1, 0, false, true},
-		{"word from its address", func(s *State) { s.StartedAt("10.0.0.1:1", 200) }, 200, 2, 0, false, true},
-		{"word from another address", func(s *State) { s.StartedAt("10.0.0.2:1", 200) }, 100, 2, 4, true, false},
+		{"word from its address", func(s *State) { s.ObserveStartByAddress("10.0.0.1:1", 200) }, 200, 2, 0, false, true},
+		{"word from another address", func(s *State) { s.ObserveStartByAddress("10.0.0.2:1", 200) }, 100, 2, 4, true, false},
 		{"an entry that tells no start", func(s *State) { s.SetInstance(engine(0, 6, 2, 5)) }, 100, 2, 5, true, false},
 	}
 	for _, row := range rows {
@@ -91,7 +91,7 @@
 				// Orders of a start are told apart by a multiple of its number.
 				s.SetInstance(engine(born, revision, 1, born*100))
 			} else {
-				s.Started("i", born, 1)
+				s.ObserveStart("i", born, 1)
 			}
 			latest = max(latest, born)
 			i, ok := s.Instance("i")
--- a/internal/coordination/discovery/state.go
+++ b/internal/coordination/discovery/state.go
@@ -64,7 +64,7 @@
 	mu        sync.Mutex
 	instances map[string]*known
 	lives     lives
-	named     map[string]Named
+	named     map[string]TargetWeights
 	renamed   chan struct{}
 	version   uint64
 	listed    bool
@@ -89,7 +89,7 @@
 	return &State{
 		Table: fleet.NewTable(cfg, self, now), Services: config.NewStore(), Log: log, Now: time.Now, onTable: onTable,
 		instances: map[string]*known{}, lives: lives{first: map[string]uint64{}, waiting: map[string]Instance{}},
-		named: map[string]Named{}, renamed: make(chan struct{}),
+		named: map[string]TargetWeights{}, renamed: make(chan struct{}),
 	}
 }
 
@@ -179,7 +179,7 @@
 	defer s.mu.Unlock()
 	out := make([]Instance, 0, len(s.instances))
 	for _, k := range s.instances {
-		if s.Serves(k.Service) {
+		if s.HasService(k.Service) {
 			out = append(out, k.Instance)
 		}
 	}
@@ -187,9 +187,9 @@
 	return out
 }
 
-// Serves tells whether the configuration in force names a service; before the first one
+// HasService tells whether the configuration in force names a service; before the first one
 // every service counts as named.
-func (s *State) Serves(service string) bool {
+func (s *State) HasService(service string) bool {
 	t := s.routes.Load()
 	return t == nil || t.Services[service] != nil
 }
@@ -244,10 +244,10 @@
 		a.Service == b.Service && a.Address == b.Address && a.Domain == b.Domain
 }
 
-// Started takes in an endpoint's own word of its start and its weights. It may come before
+// ObserveStart takes in an endpoint's own word of its start and its weights. It may come before
 // the entry that tells of the same start: a restarted endpoint writes its entry a second
 // or more later. An endpoint that tells of no start is taken for the one that is known.
-func (s *State) Started(id string, born, weights int64) {
+func (s *State) ObserveStart(id string, born, weights int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k, ok := s.instances[id]
@@ -261,11 +261,11 @@
 	s.put(k, stateOf(k.Instance))
 }
 
-// StartedAt is Started for an endpoint that is known by its address only.
-func (s *State) StartedAt(address string, born int64) {
+// ObserveStartByAddress is Started for an endpoint that is known by its address only.
+func (s *State) ObserveStartByAddress(address string, born int64) {
 	for _, i := range s.Instances() {
 		if i.Address == address {
-			s.Started(i.ID, born, 0)
+			s.ObserveStart(i.ID, born, 0)
 		}
 	}
 }
@@ -303,9 +303,9 @@
 	}, time.Now())
 }
 
-// Emptying returns a channel that is closed when an endpoint carries out an order, for
+// Draining returns a channel that is closed when an endpoint carries out an order, for
 // which its runs must end, or leaves; nil if it is not known.
-func (s *State) Emptying(id string) <-chan struct{} {
+func (s *State) Draining(id string) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k, ok := s.instances[id]
--- a/internal/coordination/discovery/watcher.go
+++ b/internal/coordination/discovery/watcher.go
@@ -25,7 +25,7 @@
 type Decoder interface {
 	Config(objectapi.Record) (*routes.Table, error)
 	Instance(objectapi.Record) (Instance, error)
-	Weights(objectapi.Record) (Named, error)
+	Weights(objectapi.Record) (TargetWeights, error)
 }
 
 const (
@@ -108,8 +108,8 @@
 	duties.Wait()
 }
 
-// Age is how long ago the store last answered; it is large before the first answer.
-func (w *Watcher) Age(now time.Time) time.Duration {
+// AnswerAge is how long ago the store last answered; it is large before the first answer.
+func (w *Watcher) AnswerAge(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return now.Sub(w.heard)
@@ -142,8 +142,8 @@
 	w.configAsked = began
 }
 
-// Heard records that the store has answered.
-func (w *Watcher) Heard(now time.Time) {
+// RecordAnswer records that the store has answered.
+func (w *Watcher) RecordAnswer(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.heard = now
@@ -390,7 +390,7 @@
 	if err != nil {
 		return err
 	}
-	w.State.SetNamed(n)
+	w.State.SetTarget(n)
 	return nil
 }
 
--- a/internal/coordination/discovery/watcher_test.go
+++ b/internal/coordination/discovery/watcher_test.go
@@ -28,8 +28,8 @@
 		feed.put("servers", "i-1", false)
 		feed.put("versions", "m", 2)
 		time.Sleep(10 * time.Millisecond)
-		if !state.Ready() || state.Routes().Version != 3 || usable(state) != 1 || state.NamedVersion("m") != 2 {
-			t.Errorf("%v %+v %d %d", state.Ready(), state.Routes(), usable(state), state.NamedVersion("m"))
+		if !state.Ready() || state.Routes().Version != 3 || usable(state) != 1 || state.TargetVersion("m") != 2 {
+			t.Errorf("%v %+v %d %d", state.Ready(), state.Routes(), usable(state), state.TargetVersion("m"))
 		}
 		feed.put("servers", "i-1", true)
 		time.Sleep(10 * time.Millisecond)
@@ -52,7 +52,7 @@
 		time.Sleep(time.Second)
 		feed.set(func() { feed.silent = true })
 		time.Sleep(time.Minute)
-		if age := w.Age(time.Now()); age < 50*time.Second {
+		if age := w.AnswerAge(time.Now()); age < 50*time.Second {
 			t.Errorf("the store counts as heard %s ago", age)
 		}
 		feed.put("config", "main", 2)
@@ -84,7 +84,7 @@
 		}
 		feed.set(func() { feed.silent = true })
 		time.Sleep(10 * time.Second)
-		w.Heard(time.Now())
+		w.RecordAnswer(time.Now())
 		if age := w.ConfigAge(); age < 10*time.Second {
 			t.Errorf("%s old after 10 s of silence", age)
 		}
@@ -193,14 +193,14 @@
 			late := old
 			late.Revision = 12
 			s.ReplaceInstances([]Instance{other, restarted, late}, false, now)
-			s.Misdirected("old")
+			s.MarkMisdirected("old")
 		}},
 		{"both tell their starts", func(s *State, now time.Time) {
 			late, born := old, restarted
 			late.Revision, late.Born, born.Born = 12, 100, 200
 			s.ReplaceInstances([]Instance{other, born, late}, false, now)
 		}},
-		{"rejected, but no other entry is there", func(s *State, _ time.Time) { s.SetInstance(restarted); s.Misdirected("new") }},
+		{"rejected, but no other entry is there", func(s *State, _ time.Time) { s.SetInstance(restarted); s.MarkMisdirected("new") }},
 		{"the new one is gone, and the old one had lapsed before", func(s *State, now time.Time) {
 			s.SetInstance(old)
 			s.Remove("old", true, now)
@@ -233,15 +233,15 @@
 func TestWeightsOnlyGrow(t *testing.T) {
 	state := NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 	state.SetInstance(Instance{ID: "i", Revision: 1, Model: "m", Weights: 1})
-	state.Observe("i", 3)
+	state.ObserveWeights("i", 3)
 	state.SetInstance(Instance{ID: "i", Revision: 2, Model: "m", Weights: 2})
 	if i, _ := state.Instance("i"); i.Weights != 3 {
 		t.Errorf("weights %d", i.Weights)
 	}
-	state.SetNamed(Named{Model: "m", Version: 4})
-	state.SetNamed(Named{Model: "m", Version: 2})
-	if state.NamedVersion("m") != 4 {
-		t.Errorf("named %d", state.NamedVersion("m"))
+	state.SetTarget(TargetWeights{Model: "m", Version: 4})
+	state.SetTarget(TargetWeights{Model: "m", Version: 2})
+	if state.TargetVersion("m") != 4 {
+		t.Errorf("named %d", state.TargetVersion("m"))
 	}
 }
 
@@ -252,14 +252,14 @@
 		state.SetInstance(Instance{ID: "b", Model: "m", Weights: 2})
 		first := time.Now()
 		for v := int64(2); v <= 4; v++ {
-			state.SetNamed(Named{Model: "m", Version: v})
+			state.SetTarget(TargetWeights{Model: "m", Version: v})
 			time.Sleep(time.Second)
 		}
-		if n, since := state.Behind("m"); n != 2 || !since.Equal(first) {
+		if n, since := state.EndpointsBehind("m"); n != 2 || !since.Equal(first) {
 			t.Errorf("%d behind since %s", n, since.Sub(first))
 		}
-		state.Observe("a", 4)
-		if n, since := state.Behind("m"); n != 1 || since.Sub(first) != time.Second {
+		state.ObserveWeights("a", 4)
+		if n, since := state.EndpointsBehind("m"); n != 1 || since.Sub(first) != time.Second {
 			t.Errorf("%d behind since %s", n, since.Sub(first))
 		}
 	})
@@ -275,7 +275,7 @@
 			s := NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 			s.RetireAfter = 8 * time.Second
 			s.SetInstance(Instance{ID: "a", Service: "s", Model: "m", Weights: 1})
-			s.SetNamed(Named{Model: "m", Version: 2})
+			s.SetTarget(TargetWeights{Model: "m", Version: 2})
 			return s
 		}
 		used := func(s *State, id string) bool {
@@ -285,7 +285,7 @@
 		first := open()
 		time.Sleep(5 * time.Second)
 		second := open()
-		second.AdoptAges(first.Ages())
+		second.MergeVersionAges(first.VersionAges())
 		time.Sleep(3500 * time.Millisecond)
 		for i, s := range []*State{first, second} {
 			s.RetireOutdated()
@@ -296,7 +296,7 @@
 			if used(s, "b") {
 				t.Errorf("state %d: an endpoint that comes with replaced weights is used", i)
 			}
-			s.Observe("a", 2)
+			s.ObserveWeights("a", 2)
 			if !used(s, "a") {
 				t.Errorf("state %d: not used with the new weights", i)
 			}
--- a/internal/coordination/discovery/weights.go
+++ b/internal/coordination/discovery/weights.go
@@ -8,8 +8,8 @@
 	"go.uber.org/zap"
 )
 
-// Named is the version of a model that operators ask for.
-type Named struct {
+// TargetWeights is the version of a model that operators ask for.
+type TargetWeights struct {
 	Model    string
 	Version  int64
 	Revision uint64
@@ -26,8 +26,8 @@
 // keptVersions bounds the versions remembered for a model.
 const keptVersions = 16
 
-// SetNamed records the version of a model that operators ask for; versions grow.
-func (s *State) SetNamed(n Named) {
+// SetTarget records the version of a model that operators ask for; versions grow.
+func (s *State) SetTarget(n TargetWeights) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n.Version <= s.named[n.Model].Version {
@@ -46,19 +46,19 @@
 	s.renamed = make(chan struct{})
 }
 
-// NamedChanged returns a channel that is closed when other weights are named, or
+// TargetChanged returns a channel that is closed when other weights are named, or
 // an endpoint without the named ones is listed.
-func (s *State) NamedChanged() <-chan struct{} {
+func (s *State) TargetChanged() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.renamed
 }
 
-// NamedWeights lists the versions asked for, by model.
-func (s *State) NamedWeights() []Named {
+// Targets lists the versions asked for, by model.
+func (s *State) Targets() []TargetWeights {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]Named, 0, len(s.named))
+	out := make([]TargetWeights, 0, len(s.named))
 	for _, n := range s.named {
 		out = append(out, n)
 	}
@@ -66,9 +66,9 @@
 	return out
 }
 
-// Behind counts the endpoints that have not the named weights of a model, and tells
+// EndpointsBehind counts the endpoints that have not the named weights of a model, and tells
 // since when the first version that the furthest behind lacks has been named.
-func (s *State) Behind(model string) (endpoints int, since time.Time) {
+func (s *State) EndpointsBehind(model string) (endpoints int, since time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.named[model]
@@ -83,7 +83,7 @@
 }
 
 // sinceAfter is when the first version above another was named.
-func (n Named) sinceAfter(version int64) time.Time {
+func (n TargetWeights) sinceAfter(version int64) time.Time {
 	for _, v := range n.since {
 		if v.version > version {
 			return v.at
@@ -92,23 +92,23 @@
 	return time.Time{}
 }
 
-// NamedAge is how long a version of a model has been named.
-type NamedAge struct {
+// VersionAge is how long a version of a model has been named.
+type VersionAge struct {
 	Model   string `json:"model"`
 	Version int64  `json:"version"`
 	AgeMS   int64  `json:"age_ms"`
 }
 
-// Ages tells how long the versions that may still be missing somewhere have been
+// VersionAges tells how long the versions that may still be missing somewhere have been
 // named.
-func (s *State) Ages() []NamedAge {
+func (s *State) VersionAges() []VersionAge {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []NamedAge
+	var out []VersionAge
 	now := s.Now()
 	for _, n := range s.named {
 		for _, v := range n.since {
-			out = append(out, NamedAge{n.Model, v.version, now.Sub(v.at).Milliseconds()})
+			out = append(out, VersionAge{n.Model, v.version, now.Sub(v.at).Milliseconds()})
 		}
 	}
 	sort.Slice(out, func(a, b int) bool {
@@ -117,10 +117,10 @@
 	return out
 }
 
-// AdoptAges takes over what another process says of the age of versions. A process
+// MergeVersionAges takes over what another process says of the age of versions. A process
 // that has started since they were named would otherwise allow the replaced ones
 // for as long again.
-func (s *State) AdoptAges(ages []NamedAge) {
+func (s *State) MergeVersionAges(ages []VersionAge) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
@@ -153,9 +153,9 @@
 	return s.RetireAfter > 0 && k.Model != "" && !since.IsZero() && s.Now().Sub(since) > s.RetireAfter
 }
 
-// BeginLeft is the time within which an endpoint must begin to answer what it has
+// TimeLeftToBegin is the time within which an endpoint must begin to answer what it has
 // been sent; false if its weights are the named ones.
-func (s *State) BeginLeft(id string) (left time.Duration, limited bool) {
+func (s *State) TimeLeftToBegin(id string) (left time.Duration, limited bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k, ok := s.instances[id]
@@ -179,9 +179,9 @@
 	}
 }
 
-// LoadNext lists the engines that are next to load the named weights among those that have
+// NextToLoad lists the engines that are next to load the named weights among those that have
 // the same ones as an engine: half of them, in the order in which they are ordered.
-func (s *State) LoadNext(id string) []string {
+func (s *State) NextToLoad(id string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k, ok := s.instances[id]
@@ -206,8 +206,8 @@
 	return ok && k.loading
 }
 
-// NamedVersion is the version asked for of one model, 0 if none is.
-func (s *State) NamedVersion(model string) int64 {
+// TargetVersion is the version asked for of one model, 0 if none is.
+func (s *State) TargetVersion(model string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.named[model].Version
@@ -221,8 +221,8 @@
 	return strconv.FormatInt(version, 10)
 }
 
-// Observe takes in what an endpoint itself said of its weights.
-func (s *State) Observe(id string, weights int64) {
+// ObserveWeights takes in what an endpoint itself said of its weights.
+func (s *State) ObserveWeights(id string, weights int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k, ok := s.instances[id]
--- a/internal/coordination/gateway/attempt.go
+++ b/internal/coordination/gateway/attempt.go
@@ -127,7 +127,7 @@
 	case r.Misdirected && a.Weights > 0:
 		x.g.enqueueWeightQuery(c.Member.ID)
 	case r.Misdirected:
-		x.g.State.Misdirected(c.Member.ID)
+		x.g.State.MarkMisdirected(c.Member.ID)
 	}
 	return outcome{kind: rejected}
 }
@@ -262,7 +262,7 @@
 // recordReply records the weights and the load that an endpoint reports in its answer.
 func (g *Gateway) recordReply(c routing.Choice, r Reply) {
 	if r.Weights > 0 {
-		g.State.Observe(c.Member.ID, r.Weights)
+		g.State.ObserveWeights(c.Member.ID, r.Weights)
 	}
 	if r.HasLoad {
 		g.Directory.ObserveLoad(c, loadOf(r.Load), time.Now())
--- a/internal/coordination/gateway/config_test.go
+++ b/internal/coordination/gateway/config_test.go
@@ -23,7 +23,7 @@
 // A 401 would make the caller give up a valid key, so it must be asked to retry instead.
 func TestStaleConfigRefusalsAreRetryable(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 1), respond(200, "a"))
-	s.gateway.Watcher.Heard(time.Now().Add(-configStaleAfter - time.Second))
+	s.gateway.Watcher.RecordAnswer(time.Now().Add(-configStaleAfter - time.Second))
 	for _, path := range []string{"/r/x", "/new/x"} {
 		resp, _, err := s.do(s.newRequest("GET", path, "", headerKey+": new"))
 		if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
--- a/internal/coordination/gateway/gateway_test.go
+++ b/internal/coordination/gateway/gateway_test.go
@@ -507,7 +507,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			s := newTestServer(t, list, respond(200, "a"))
 			now := time.Now()
-			s.gateway.Watcher.Heard(now)
+			s.gateway.Watcher.RecordAnswer(now)
 			resp, _, err := s.do(s.newRequest("POST", row.path, row.body, row.lines...))
 			if err != nil || resp.StatusCode != row.status || s.requestCount() != row.sent {
 				t.Errorf("got %v, error %v, %d requests; want the row's status and number of requests", resp, err, s.requestCount())
--- a/internal/coordination/gateway/reconfigure_test.go
+++ b/internal/coordination/gateway/reconfigure_test.go
@@ -64,7 +64,7 @@
 		state.Remove(e.id, false, time.Now())
 		return
 	case 6:
-		state.Misdirected(e.id)
+		state.MarkMisdirected(e.id)
 	}
 	state.SetLoading(e.id, n%3 == 0)
 	state.SetInstance(i)
--- a/internal/coordination/gateway/relocate.go
+++ b/internal/coordination/gateway/relocate.go
@@ -93,7 +93,7 @@
 func (x *exchange) watchRelocation(ctx context.Context, cut func(), c routing.Choice, attempt Attempt) *relocation {
 	r := &relocation{done: make(chan struct{})}
 	ctx, r.stop = context.WithCancel(ctx)
-	emptying := x.g.State.Emptying(c.Member.ID)
+	emptying := x.g.State.Draining(c.Member.ID)
 	if x.g.Copier == nil || emptying == nil || attempt.Weights == 0 {
 		close(r.done)
 		return r
@@ -179,12 +179,12 @@
 		Domain: x.g.Domain, CrossDomainPenalty: crossDomainPenalty, Urgency: x.urgency(), Objective: config.Objective{WeightTTFT: 1},
 		WeightVersion: c.Member.Endpoint.WeightVersion, Now: time.Now(),
 		// One whose turn to load comes soon would have to pass the run on, or refuse it.
-		Exclude: append(x.g.State.LoadNext(c.Member.ID), c.Member.ID),
+		Exclude: append(x.g.State.NextToLoad(c.Member.ID), c.Member.ID),
 	})
 	if target.Member.ID == "" {
 		return target
 	}
-	window, limited := x.g.State.BeginLeft(target.Member.ID)
+	window, limited := x.g.State.TimeLeftToBegin(target.Member.ID)
 	if target.CapacityWait > maxDestinationWait || (limited && window < minStartWindow) {
 		x.g.Directory.Release(target)
 		return routing.Choice{}
--- a/internal/coordination/gateway/relocate_test.go
+++ b/internal/coordination/gateway/relocate_test.go
@@ -281,13 +281,13 @@
 	for n := range 6 {
 		s.SetInstance(discovery.Instance{ID: fmt.Sprint("e", n), Revision: 30, Service: "s", Address: fmt.Sprint("10.0.0.1:", n+1), Model: "m", Weights: 1})
 	}
-	if next := s.LoadNext("e0"); len(next) != 0 {
+	if next := s.NextToLoad("e0"); len(next) != 0 {
 		t.Errorf("%v load though nothing is named", next)
 	}
-	s.SetNamed(discovery.Named{Model: "m", Version: 2})
+	s.SetTarget(discovery.TargetWeights{Model: "m", Version: 2})
 	s.SetLoading("e0", true)
-	s.Observe("e1", 2)
-	if next := s.LoadNext("e0"); fmt.Sprint(next) != "[e2 e3]" {
+	s.ObserveWeights("e1", 2)
+	if next := s.NextToLoad("e0"); fmt.Sprint(next) != "[e2 e3]" {
 		t.Errorf("%v are next of e2 to e5", next)
 	}
 }
@@ -298,7 +298,7 @@
 	s.SetInstance(discovery.Instance{ID: "e", Revision: 30, Service: "s", Address: "10.0.0.1:1", Model: "m", Weights: 1})
 	isSignaled := func() bool {
 		select {
-		case <-s.Emptying("e"):
+		case <-s.Draining("e"):
 			return true
 		default:
 			return false
@@ -314,7 +314,7 @@
 		}
 		s.SetLoading("e", false)
 	}
-	if s.Emptying("unknown") != nil {
+	if s.Draining("unknown") != nil {
 		t.Error("an unknown endpoint is watched")
 	}
 }
--- a/internal/coordination/gateway/stream.go
+++ b/internal/coordination/gateway/stream.go
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	unwatch := x.cancelWhenBlamed(cancel)
 	x.onStreamBegun = unwatch
-	if left, limited := x.g.State.BeginLeft(c.Member.ID); limited {
+	if left, limited := x.g.State.TimeLeftToBegin(c.Member.ID); limited {
 		timer := time.AfterFunc(max(0, left), func() { cancel(errWeightsReplaced) })
 		x.onStreamBegun = func() {
 			timer.Stop()
--- a/internal/coordination/gateway/weights.go
+++ b/internal/coordination/gateway/weights.go
@@ -63,14 +63,14 @@
 	defer cancel()
 	report, err := g.QueryWeights(ctx, instance)
 	if errors.Is(err, rollout.ErrOtherInstance) {
-		g.State.Misdirected(id)
+		g.State.MarkMisdirected(id)
 	}
 	if err != nil {
 		g.Log.Info("engine does not tell its weights", zap.String("endpoint", id), zap.Error(err))
 		return
 	}
-	g.State.Started(id, report.Born, report.Weights)
-	g.State.Observe(id, report.Weights)
+	g.State.ObserveStart(id, report.Born, report.Weights)
+	g.State.ObserveWeights(id, report.Weights)
 }
 
 // EngineReport is what an engine says of itself when it is asked.
--- a/internal/coordination/gateway/weights_test.go
+++ b/internal/coordination/gateway/weights_test.go
@@ -36,7 +36,7 @@
 	state := s.gateway.State
 	state.BeginWithin = 50 * time.Millisecond
 	state.SetInstance(discovery.Instance{ID: "i-0", Revision: 9, Service: "s", Address: s.endpoints[0].address, Domain: "a", Model: "m", Weights: 1})
-	state.SetNamed(discovery.Named{Model: "m", Version: 2})
+	state.SetTarget(discovery.TargetWeights{Model: "m", Version: 2})
 	resp, _, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 	if err != nil || resp.StatusCode != 502 || resp.Header.Get("X-Limpetwall-Ran") != "unknown" {
 		t.Errorf("%v %v", resp, err)
--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -104,9 +104,9 @@
 	l.note = note
 }
 
-// OthersNote is the holder's note as last read, nil while this process holds the
+// HolderNote is the holder's note as last read, nil while this process holds the
 // lease or has read none.
-func (l *Lease) OthersNote() []byte {
+func (l *Lease) HolderNote() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fence != 0 {
@@ -122,18 +122,18 @@
 	return l.other.Note
 }
 
-// Written is this process's last write that won: the object's version after it, and its
+// LastWrite is this process's last write that won: the object's version after it, and its
 // value.
-func (l *Lease) Written() (version int64, value []byte) {
+func (l *Lease) LastWrite() (version int64, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.version, l.written
 }
 
-// Told takes in what the holder says that it has written, as if it had been read from the
+// ObserveRenewal takes in what the holder says that it has written, as if it had been read from the
 // store. Versions grow, so a word that was delayed or repeated changes nothing; a late one
 // only lets the lease lapse later before this process's eyes.
-func (l *Lease) Told(version int64, value []byte) {
+func (l *Lease) ObserveRenewal(version int64, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if version <= l.seen || version <= l.version {
@@ -152,20 +152,20 @@
 	}
 }
 
-// ToldAt is when the holder last told of a renewal, the zero time if it never did.
-func (l *Lease) ToldAt() time.Time {
+// LastObservedRenewal is when the holder last told of a renewal, the zero time if it never did.
+func (l *Lease) LastObservedRenewal() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.toldAt
 }
 
-// News has an item when the holder has told of a renewal.
-func (l *Lease) News() <-chan struct{} { return l.news }
+// RenewalObserved has an item when the holder has told of a renewal.
+func (l *Lease) RenewalObserved() <-chan struct{} { return l.news }
 
-// Taken tells when this process took the lease over from another holder, and the
+// TakenOver tells when this process took the lease over from another holder, and the
 // note that the other had left last; the zero time if it did not. What the other
 // sent just before may still be on its way then.
-func (l *Lease) Taken() (at time.Time, note []byte) {
+func (l *Lease) TakenOver() (at time.Time, note []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.takenAt, l.takenNote
@@ -190,9 +190,9 @@
 	return l.fence, nil
 }
 
-// Held tells whether this process is the holder as far as it knows, though it may
+// IsHeld tells whether this process is the holder as far as it knows, though it may
 // have to renew before it acts.
-func (l *Lease) Held(now time.Time) bool {
+func (l *Lease) IsHeld(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fence != 0 && now.Sub(l.renewed) < l.cfg.renewable()
@@ -204,7 +204,7 @@
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.CallTimeout)
 	defer cancel()
 	began := l.cfg.Now()
-	if l.Held(began) {
+	if l.IsHeld(began) {
 		return l.renew(ctx, began)
 	}
 	return l.tryAcquire(ctx, began)
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -175,18 +175,18 @@
 		a, b := open(store, "a"), open(store, "b")
 		a.Step(t.Context())
 		b.Step(t.Context())
-		first, firstValue := a.Written()
+		first, firstValue := a.LastWrite()
 		time.Sleep(term / 2)
 		a.SetNote([]byte(`"later"`))
 		a.Step(t.Context())
-		b.Told(a.Written())
-		if note := string(b.OthersNote()); note != `"later"` {
+		b.ObserveRenewal(a.LastWrite())
+		if note := string(b.HolderNote()); note != `"later"` {
 			t.Errorf("note %q", note)
 		}
 		time.Sleep(term - time.Millisecond)
-		b.Told(first, firstValue)
-		b.Told(a.Written())
-		if b.Step(t.Context()); b.Held(time.Now()) {
+		b.ObserveRenewal(first, firstValue)
+		b.ObserveRenewal(a.LastWrite())
+		if b.Step(t.Context()); b.IsHeld(time.Now()) {
 			t.Error("taken over within a term of the last word")
 		}
 		time.Sleep(time.Millisecond)
@@ -197,8 +197,8 @@
 		if _, held := holds(b); !held {
 			t.Error("not held")
 		}
-		a.Told(b.Written())
-		if note := string(a.OthersNote()); a.Held(time.Now()) || note != `"of b"` {
+		a.ObserveRenewal(b.LastWrite())
+		if note := string(a.HolderNote()); a.IsHeld(time.Now()) || note != `"of b"` {
 			t.Error("the old holder does not follow the new one")
 		}
 	})
--- a/internal/coordination/rollout/director.go
+++ b/internal/coordination/rollout/director.go
@@ -163,14 +163,14 @@
 		timer := time.NewTimer(d.untilNextLook(held))
 		select {
 		case <-timer.C:
-		case <-d.State.NamedChanged():
-		case <-d.Lease.News():
+		case <-d.State.TargetChanged():
+		case <-d.Lease.RenewalObserved():
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		}
 		timer.Stop()
-		if len(d.State.NamedWeights()) == 0 && !d.hasEngines() {
+		if len(d.State.Targets()) == 0 && !d.hasEngines() {
 			continue
 		}
 		held = d.step(ctx, held)
@@ -208,7 +208,7 @@
 // 22,000 calls to the store. A holder that dies or is cut off falls silent, and the followers
 // look again before its term is over: nobody takes over later for the notices.
 func (d *Director) informed(pending bool) time.Duration {
-	told := d.Lease.ToldAt()
+	told := d.Lease.LastObservedRenewal()
 	if told.IsZero() {
 		return 0
 	}
@@ -220,7 +220,7 @@
 }
 
 // Leads tells whether this process holds the lease.
-func (d *Director) Leads() bool { return d.Lease.Held(d.Now()) }
+func (d *Director) Leads() bool { return d.Lease.IsHeld(d.Now()) }
 
 func (d *Director) hasEngines() bool {
 	for _, i := range d.State.Instances() {
@@ -237,7 +237,7 @@
 		return true
 	}
 	for _, i := range d.State.Instances() {
-		if i.Model != "" && !i.Leaving && i.Weights < d.State.NamedVersion(i.Model) {
+		if i.Model != "" && !i.Leaving && i.Weights < d.State.TargetVersion(i.Model) {
 			return true
 		}
 	}
@@ -280,7 +280,7 @@
 // tell passes on what was just written to the lease.
 func (d *Director) tell() {
 	if d.Notices != nil {
-		d.Notices.Announce(d.Lease.Written())
+		d.Notices.Announce(d.Lease.LastWrite())
 	}
 }
 
@@ -288,7 +288,7 @@
 // says in its note that it is about to order before it does: one that has not said
 // so has ordered nothing for long.
 func (d *Director) handingOver() bool {
-	at, left := d.Lease.Taken()
+	at, left := d.Lease.TakenOver()
 	if at.IsZero() || d.Now().Sub(at) >= d.Handover {
 		return false
 	}
@@ -314,7 +314,7 @@
 			d.loading[id] = l
 		}
 		has := report.Weights[l.instance.Model]
-		d.State.Observe(id, has)
+		d.State.ObserveWeights(id, has)
 		finished := err == nil && !report.Busy
 		if finished || d.Now().Sub(l.since) > loadGivenUp || d.Now().Sub(l.heard) > silentGivenUp {
 			d.Log.Info("order ended", zap.String("endpoint", id), zap.Int64("ordered", l.version), zap.Int64("weights", has),
@@ -341,9 +341,9 @@
 	report, err := d.Engines.Report(ctx, i)
 	switch {
 	case errors.Is(err, ErrOtherInstance):
-		d.State.Misdirected(i.ID)
+		d.State.MarkMisdirected(i.ID)
 	case err == nil:
-		d.State.Started(i.ID, report.Born, report.Weights[i.Model])
+		d.State.ObserveStart(i.ID, report.Born, report.Weights[i.Model])
 	}
 	return report, err
 }
@@ -355,7 +355,7 @@
 	for _, o := range orders {
 		instance, ok := d.State.Instance(o.Member.ID)
 		if ok {
-			d.give(ctx, instance, d.State.NamedVersion(instance.Model))
+			d.give(ctx, instance, d.State.TargetVersion(instance.Model))
 		}
 	}
 }
@@ -370,7 +370,7 @@
 		e := &members[i].Endpoint
 		// An endpoint that is not used for its old weights is to be ordered all the more.
 		e.Loading = d.State.IsLoading(members[i].ID)
-		if named := d.State.NamedVersion(e.Model); versionOf(members[i]) > named {
+		if named := d.State.TargetVersion(e.Model); versionOf(members[i]) > named {
 			e.WeightVersion = discovery.VersionName(named)
 		}
 	}
@@ -392,7 +392,7 @@
 	engines, versions := map[[2]string]int{}, map[string][]string{}
 	for _, m := range members {
 		e := m.Endpoint
-		if e.Kind != fleet.KindEngine || m.State != fleet.Alive || !d.State.Serves(e.Labels[discovery.ServiceLabel]) {
+		if e.Kind != fleet.KindEngine || m.State != fleet.Alive || !d.State.HasService(e.Labels[discovery.ServiceLabel]) {
 			continue
 		}
 		engines[[2]string{e.Labels[discovery.ServiceLabel], e.Model}]++
@@ -400,7 +400,7 @@
 	}
 	for of, count := range engines {
 		service, model := of[0], of[1]
-		named := d.State.NamedVersion(model)
+		named := d.State.TargetVersion(model)
 		if named == 0 {
 			continue
 		}
@@ -424,7 +424,7 @@
 // for the oldest named version that is not in use everywhere runs out.
 func (d *Director) atOnce(model string, engines int) int {
 	usual := max(2, int(loadingShare*float64(engines)))
-	behind, since := d.State.Behind(model)
+	behind, since := d.State.EndpointsBehind(model)
 	if behind == 0 {
 		return usual
 	}
@@ -446,7 +446,7 @@
 		d.Log.Warn("engine does not report", zap.String("endpoint", i.ID), zap.Error(err))
 		return
 	}
-	d.State.Observe(i.ID, report.Weights[i.Model])
+	d.State.ObserveWeights(i.ID, report.Weights[i.Model])
 	if report.Busy || report.Weights[i.Model] >= version {
 		if report.Busy {
 			d.track(i, version)
--- a/internal/coordination/rollout/director_test.go
+++ b/internal/coordination/rollout/director_test.go
@@ -273,7 +273,7 @@
 
 func name(members []*member, version int64) {
 	for _, m := range members {
-		m.state.SetNamed(discovery.Named{Model: "m", Version: version})
+		m.state.SetTarget(discovery.TargetWeights{Model: "m", Version: version})
 	}
 }
 
@@ -329,7 +329,7 @@
 		time.Sleep(300 * time.Millisecond)
 		var holder *member
 		for _, m := range members {
-			if m.lease.Held(time.Now()) {
+			if m.lease.IsHeld(time.Now()) {
 				holder = m
 			}
 		}
@@ -358,7 +358,7 @@
 		name(members, 2)
 		time.Sleep(act)
 		for _, m := range members {
-			if m.lease.Held(time.Now()) {
+			if m.lease.IsHeld(time.Now()) {
 				m.api.freeze()
 				defer m.api.thaw()
 			}
--- a/internal/coordination/rollout/note.go
+++ b/internal/coordination/rollout/note.go
@@ -28,7 +28,7 @@
 	// Ordering tells that orders were sent lately or are about to be.
 	Ordering bool `json:"ordering"`
 	// Named tells how long versions have been named.
-	Named []discovery.NamedAge `json:"named"`
+	Named []discovery.VersionAge `json:"named"`
 	// Loaded holds the weights of engines that carried out orders lately. Engines reject
 	// what is sent to them under others, and the platform's list lags behind.
 	Loaded map[string]int64 `json:"loaded,omitempty"`
@@ -44,7 +44,7 @@
 }
 
 func (d *Director) writeNote(ordering bool) {
-	n := note{Ordering: ordering, Named: d.State.Ages(), Loading: make([]string, 0, len(d.loading))}
+	n := note{Ordering: ordering, Named: d.State.VersionAges(), Loading: make([]string, 0, len(d.loading))}
 	for id := range d.loading {
 		n.Loading = append(n.Loading, id)
 	}
@@ -91,12 +91,12 @@
 }
 
 func (d *Director) followNote() {
-	others, err := decodeNote(d.Lease.OthersNote())
+	others, err := decodeNote(d.Lease.HolderNote())
 	if err != nil {
 		d.Log.Error("lease note does not decode", zap.Error(err))
 	}
 	for id, version := range others.Loaded {
-		d.State.Observe(id, version)
+		d.State.ObserveWeights(id, version)
 	}
 	for id := range d.marked {
 		if !slices.Contains(others.Loading, id) {
@@ -128,5 +128,5 @@
 		d.Log.Error("lease note does not decode", zap.Error(err))
 		return
 	}
-	d.State.AdoptAges(n.Named)
+	d.State.MergeVersionAges(n.Named)
 }
--- a/internal/coordination/rollout/notices_test.go
+++ b/internal/coordination/rollout/notices_test.go
@@ -35,7 +35,7 @@
 	defer a.network.mu.Unlock()
 	for _, m := range a.network.members {
 		if m != a.self && !a.network.deaf[m] {
-			m.lease.Told(version, value)
+			m.lease.ObserveRenewal(version, value)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 
 func holderOf(members []*member) *member {
 	for _, m := range members {
-		if m.lease.Held(time.Now()) {
+		if m.lease.IsHeld(time.Now()) {
 			return m
 		}
 	}
