--- a/internal/coordination/gateway/crash.go
+++ b/internal/coordination/gateway/crash.go
@@ -97,7 +97,7 @@
 		// One that leaves ends by itself, and cuts what it still runs.
 		return nil
 	}
-	run := brokenRun{quarantine.Attempt{Key: x.fingerprint(), About: x.describe(), Sent: sent, Output: x.firstEventAt}, x.call.ID}
+	run := brokenRun{quarantine.Attempt{Key: x.fingerprint(), About: x.requestInfo(), Sent: sent, Output: x.firstEventAt}, x.call.ID}
 	p, first, late := x.g.crashProbes.addRun(c.Member.Incarnation, run)
 	switch {
 	case first:
@@ -293,8 +293,8 @@
 	}
 }
 
-// describe describes the request to operators.
-func (x *exchange) describe() quarantine.RequestInfo {
+// requestInfo describes the request to operators.
+func (x *exchange) requestInfo() quarantine.RequestInfo {
 	about := quarantine.RequestInfo{Service: x.service.Name, Method: x.r.Method, Target: x.r.RequestURI}
 	if x.customer != nil {
 		about.Customer = x.customer.Name
