--- a/internal/coordination/admission/accept.go
+++ b/internal/coordination/admission/accept.go
@@ -16,33 +16,33 @@
 }
 
 const (
-	// urgentPatience and patientPatience are the parts of the objective that the most
+	// mostUrgentWaitFraction and patientPatience are the parts of the objective that the most
 	// and the least urgent requests may wait. A request that waits longer is late, and
 	// what it takes of a full engine makes others late too: beyond its capacity an
 	// engine otherwise serves everybody late and nobody in time. The least urgent are
 	// turned away first, while the queue is still short enough for the others.
-	urgentPatience  = 0.8
-	patientPatience = 0.3
-	// returnShare of the wait is asked of a caller that is turned away: by then the
+	mostUrgentWaitFraction  = 0.8
+	leastUrgentWaitFraction = 0.3
+	// retryAfterFraction of the wait is asked of a caller that is turned away: by then the
 	// queue has gone down by as much.
-	returnShare = 0.7
-	// shortestReturn keeps a caller from coming back before anything has changed.
-	shortestReturn = 200 * time.Millisecond
+	retryAfterFraction = 0.7
+	// minRetryAfter keeps a caller from coming back before anything has changed.
+	minRetryAfter = 200 * time.Millisecond
 )
 
 // Accept tells whether a request should be sent, and if not, when its caller should
 // come back.
-func Accept(p Candidate) (ok bool, after time.Duration) {
-	objective := p.Objective
+func Accept(c Candidate) (ok bool, retryAfter time.Duration) {
+	objective := c.Objective
 	if objective <= 0 {
 		// Where nobody asks for a time, an answer is on time while it is waited for.
-		objective = p.TimeLeft
+		objective = c.TimeLeft
 	}
-	patience := urgentPatience + p.PriorityRank*(patientPatience-urgentPatience)
-	limit := time.Duration(patience * float64(objective))
-	if p.Wait <= limit && p.TTFT < p.TimeLeft {
+	waitFraction := mostUrgentWaitFraction + c.PriorityRank*(leastUrgentWaitFraction-mostUrgentWaitFraction)
+	maxWait := time.Duration(waitFraction * float64(objective))
+	if c.Wait <= maxWait && c.TTFT < c.TimeLeft {
 		return true, 0
 	}
-	after = time.Duration(returnShare * float64(p.Wait)).Round(time.Millisecond)
-	return false, max(shortestReturn, after)
+	retryAfter = time.Duration(retryAfterFraction * float64(c.Wait)).Round(time.Millisecond)
+	return false, max(minRetryAfter, retryAfter)
 }
--- a/internal/coordination/admission/accept_test.go
+++ b/internal/coordination/admission/accept_test.go
@@ -21,7 +21,7 @@
 		{"urgent, long queue", Candidate{Wait: 3 * time.Second, TTFT: 3 * time.Second, Objective: objective, TimeLeft: 10 * time.Second}, false, 2100 * time.Millisecond},
 		{"no objective, short queue", Candidate{Wait: 700 * time.Millisecond, TTFT: 800 * time.Millisecond, TimeLeft: 10 * time.Second, PriorityRank: 1}, true, 0},
 		{"no objective, long queue", Candidate{Wait: 4 * time.Second, TTFT: 5 * time.Second, TimeLeft: 10 * time.Second, PriorityRank: 1}, false, 2800 * time.Millisecond},
-		{"not before the caller's end", Candidate{TTFT: 600 * time.Millisecond, Objective: objective, TimeLeft: 500 * time.Millisecond}, false, shortestReturn},
+		{"not before the caller's end", Candidate{TTFT: 600 * time.Millisecond, Objective: objective, TimeLeft: 500 * time.Millisecond}, false, minRetryAfter},
 	}
 	for _, row := range rows {
 		if ok, after := Accept(row.p); ok != row.ok || after != row.after {
--- a/internal/coordination/admission/limiter.go
+++ b/internal/coordination/admission/limiter.go
@@ -21,72 +21,72 @@
 	RetryAfter time.Duration
 }
 
-type gate struct {
-	limits     config.Limits
-	limiter    *rate.Limiter
-	concurrent int
+type limitState struct {
+	limits      config.Limits
+	rateLimiter *rate.Limiter
+	inFlight    int
 }
 
 // Limiter hold the bounds of all customers and services; safe for concurrent use.
 type Limiter struct {
-	mu    sync.Mutex
-	gates map[string]*gate
+	mu     sync.Mutex
+	states map[string]*limitState
 }
 
 // NewLimiter returns gates without history.
-func NewLimiter() *Limiter { return &Limiter{gates: map[string]*gate{}} }
+func NewLimiter() *Limiter { return &Limiter{states: map[string]*limitState{}} }
 
-// busyRetry is the advice for a full concurrency bound: about one short answer.
-const busyRetry = time.Second
+// concurrencyRetryAfter is the advice for a full concurrency bound: about one short answer.
+const concurrencyRetryAfter = time.Second
 
 // Acquire admits a request of a customer to a service. On success the caller
 // calls leave at the request's end.
-func (g *Limiter) Acquire(c *config.Customer, s *config.Service, now time.Time) (leave func(), refusal *Refusal) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	customer := g.gate("customer/"+c.ID, c.Limits)
-	service := g.gate("service/"+s.ID, s.Limits)
-	if after, ok := customer.take(now); !ok {
-		return nil, &Refusal{Scope: "customer", RetryAfter: after}
+func (l *Limiter) Acquire(c *config.Customer, s *config.Service, now time.Time) (release func(), refusal *Refusal) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	customer := l.state("customer/"+c.ID, c.Limits)
+	service := l.state("service/"+s.ID, s.Limits)
+	if retryAfter, ok := customer.acquire(now); !ok {
+		return nil, &Refusal{Scope: "customer", RetryAfter: retryAfter}
 	}
-	if after, ok := service.take(now); !ok {
-		customer.concurrent--
-		return nil, &Refusal{Scope: "service", RetryAfter: after}
+	if retryAfter, ok := service.acquire(now); !ok {
+		customer.inFlight--
+		return nil, &Refusal{Scope: "service", RetryAfter: retryAfter}
 	}
 	return func() {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		customer.concurrent--
-		service.concurrent--
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		customer.inFlight--
+		service.inFlight--
 	}, nil
 }
 
-// gate returns a bound's state, with new limits if the configuration changed.
-func (g *Limiter) gate(name string, limits config.Limits) *gate {
-	x, ok := g.gates[name]
+// state returns a bound's state, with new limits if the configuration changed.
+func (l *Limiter) state(name string, limits config.Limits) *limitState {
+	s, ok := l.states[name]
 	if !ok {
-		x = &gate{}
-		g.gates[name] = x
+		s = &limitState{}
+		l.states[name] = s
 	}
-	if !ok || x.limits != limits {
-		x.limits = limits
-		x.limiter = nil
+	if !ok || s.limits != limits {
+		s.limits = limits
+		s.rateLimiter = nil
 		if limits.RequestsPerSecond > 0 {
 			burst := max(limits.Burst, int(math.Ceil(limits.RequestsPerSecond)))
-			x.limiter = rate.NewLimiter(rate.Limit(limits.RequestsPerSecond), burst)
+			s.rateLimiter = rate.NewLimiter(rate.Limit(limits.RequestsPerSecond), burst)
 		}
 	}
-	return x
+	return s
 }
 
-func (x *gate) take(now time.Time) (after time.Duration, ok bool) {
-	if x.limits.Concurrent > 0 && x.concurrent >= x.limits.Concurrent {
-		return busyRetry, false
+func (s *limitState) acquire(now time.Time) (retryAfter time.Duration, ok bool) {
+	if s.limits.Concurrent > 0 && s.inFlight >= s.limits.Concurrent {
+		return concurrencyRetryAfter, false
 	}
-	if x.limiter != nil && !x.limiter.AllowN(now, 1) {
-		missing := 1 - x.limiter.TokensAt(now)
-		return time.Duration(missing / x.limits.RequestsPerSecond * float64(time.Second)), false
+	if s.rateLimiter != nil && !s.rateLimiter.AllowN(now, 1) {
+		missingTokens := 1 - s.rateLimiter.TokensAt(now)
+		return time.Duration(missingTokens / s.limits.RequestsPerSecond * float64(time.Second)), false
 	}
-	x.concurrent++
+	s.inFlight++
 	return 0, true
 }
