--- a/internal/coordination/admission/accept_test.go
+++ b/internal/coordination/admission/accept_test.go
@@ -8,11 +8,11 @@
 
 func TestAccept(t *testing.T) {
 	const objective = time.Second
-	rows := []struct {
-		name  string
-		p     Candidate
-		ok    bool
-		after time.Duration
+	tests := []struct {
+		name       string
+		p          Candidate
+		ok         bool
+		retryAfter time.Duration
 	}{
 		{"no queue", Candidate{TTFT: 100 * time.Millisecond, Objective: objective, TimeLeft: 10 * time.Second, PriorityRank: 1}, true, 0},
 		{"a long prompt without queue", Candidate{TTFT: 2 * time.Second, Objective: objective, TimeLeft: 10 * time.Second, PriorityRank: 1}, true, 0},
@@ -23,46 +23,46 @@
 		{"no objective, long queue", Candidate{Wait: 4 * time.Second, TTFT: 5 * time.Second, TimeLeft: 10 * time.Second, PriorityRank: 1}, false, 2800 * time.Millisecond},
 		{"not before the caller's end", Candidate{TTFT: 600 * time.Millisecond, Objective: objective, TimeLeft: 500 * time.Millisecond}, false, minRetryAfter},
 	}
-	for _, row := range rows {
-		if ok, after := Accept(row.p); ok != row.ok || after != row.after {
-			t.Errorf("%s: %v, back after %s", row.name, ok, after)
+	for _, tt := range tests {
+		if ok, retryAfter := Accept(tt.p); ok != tt.ok || retryAfter != tt.retryAfter {
+			t.Errorf("%s: %v, back after %s", tt.name, ok, retryAfter)
 		}
 	}
 }
 
-// kindOfLoad is one kind of request of the load below.
-type kindOfLoad struct {
-	perSecond float64
-	read      time.Duration
-	objective time.Duration
-	rank      float64
+// requestClass is one kind of request of the load below.
+type requestClass struct {
+	perSecond    float64
+	prefill      time.Duration
+	objective    time.Duration
+	priorityRank float64
 }
 
-// The load has three kinds in the proportions of a site's day: long write-ups, the
+// The trafficMix has three kinds in the proportions of a site's day: long write-ups, the
 // least urgent, that take most of the engines; notes; and short checks, the most
 // urgent.
-var load = []kindOfLoad{
+var trafficMix = []requestClass{
 	{14.6, 250 * time.Millisecond, 1200 * time.Millisecond, 1},
 	{26.1, 20 * time.Millisecond, time.Second, 0.5},
 	{22.4, 50 * time.Millisecond, 2 * time.Second, 0},
 }
 
-// play lets requests come to engines that read one prompt after the other, in order
+// simulate lets requests come to engines that read one prompt after the other, in order
 // of arrival, each at the engine with the shortest queue. From 5 s to 15 s only
 // down engines are there. It returns each kind's share in time, during that and in
 // the ten seconds after.
-func play(accept func(Candidate) bool, engines, down int) (during, after [3]float64) {
+func simulate(accept func(Candidate) bool, engines, remaining int) (during, after [3]float64) {
 	random := rand.New(rand.NewPCG(1, 2))
-	free := make([]time.Duration, engines)
-	var came, inTime [2][3]float64
+	busyUntil := make([]time.Duration, engines)
+	var arrived, inTime [2][3]float64
 	const step = time.Millisecond
 	for now := time.Duration(0); now < 25*time.Second; now += step {
-		available := free
+		available := busyUntil
 		if now >= 5*time.Second && now < 15*time.Second {
-			available = free[:down]
+			available = busyUntil[:remaining]
 		}
-		for i, k := range load {
-			if random.Float64() >= k.perSecond*step.Seconds() {
+		for i, class := range trafficMix {
+			if random.Float64() >= class.perSecond*step.Seconds() {
 				continue
 			}
 			best := 0
@@ -77,38 +77,38 @@
 				phase = 1
 			}
 			if now >= 5*time.Second {
-				came[phase][i]++
+				arrived[phase][i]++
 			}
-			if !accept(Candidate{Wait: wait, TTFT: wait + k.read, Objective: k.objective, TimeLeft: 10 * time.Second, PriorityRank: k.rank}) {
+			if !accept(Candidate{Wait: wait, TTFT: wait + class.prefill, Objective: class.objective, TimeLeft: 10 * time.Second, PriorityRank: class.priorityRank}) {
 				continue
 			}
-			available[best] = now + wait + k.read
-			if now >= 5*time.Second && wait+k.read <= k.objective {
+			available[best] = now + wait + class.prefill
+			if now >= 5*time.Second && wait+class.prefill <= class.objective {
 				inTime[phase][i]++
 			}
 		}
 	}
-	for i := range load {
-		during[i], after[i] = inTime[0][i]/came[0][i], inTime[1][i]/came[1][i]
+	for i := range trafficMix {
+		during[i], after[i] = inTime[0][i]/arrived[0][i], inTime[1][i]/arrived[1][i]
 	}
 	return during, after
 }
 
-// TestOverloadIsServedInTime takes half of the engines away for ten seconds, so that
+// TestUrgentRequestsAreInTimeUnderOverload takes half of the engines away for ten seconds, so that
 // 1.4 times as much is to be read as the rest can read.
 //
 // Without refusals the queues grow and everybody waits alike: the long ones are in
 // time in 0.19, the notes in 0.15, the checks in 0.68. With them the urgent kinds
 // are all in time, and the long ones in 0.74: they get what is left.
-func TestOverloadIsServedInTime(t *testing.T) {
-	everybody := func(Candidate) bool { return true }
-	some := func(p Candidate) bool {
+func TestUrgentRequestsAreInTimeUnderOverload(t *testing.T) {
+	acceptAll := func(Candidate) bool { return true }
+	accept := func(p Candidate) bool {
 		ok, _ := Accept(p)
 		return ok
 	}
-	const engines, down = 8, 4
-	before, _ := play(everybody, engines, down)
-	during, after := play(some, engines, down)
+	const engines, remaining = 8, 4
+	before, _ := simulate(acceptAll, engines, remaining)
+	during, after := simulate(accept, engines, remaining)
 	t.Logf("in time without refusals: %.2f; with: %.2f, afterwards %.2f", before, during, after)
 	if before[1] > 0.3 {
 		t.Errorf("the load is no overload: %.2f", before)
--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -17,66 +17,66 @@
 	"limpetwall/internal/state/config"
 )
 
-func TestGates(t *testing.T) {
+func TestLimiter(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	g := admission.NewLimiter()
+	limiter := admission.NewLimiter()
 	slow := &config.Customer{ID: "slow", Limits: config.Limits{RequestsPerSecond: 1, Burst: 2}}
 	narrow := &config.Customer{ID: "narrow", Limits: config.Limits{Concurrent: 1}}
 	free := &config.Customer{ID: "free"}
 	s := &config.Service{ID: "s"}
 	for range 2 {
-		if _, refusal := g.Acquire(slow, s, now); refusal != nil {
+		if _, refusal := limiter.Acquire(slow, s, now); refusal != nil {
 			t.Fatalf("within the burst: %+v", refusal)
 		}
 	}
-	_, refusal := g.Acquire(slow, s, now)
+	_, refusal := limiter.Acquire(slow, s, now)
 	if refusal == nil || refusal.Scope != "customer" || refusal.RetryAfter < 900*time.Millisecond || refusal.RetryAfter > time.Second {
 		t.Errorf("beyond the rate: %+v", refusal)
 	}
-	if _, refusal := g.Acquire(slow, s, now.Add(refusal.RetryAfter+time.Millisecond)); refusal != nil {
+	if _, refusal := limiter.Acquire(slow, s, now.Add(refusal.RetryAfter+time.Millisecond)); refusal != nil {
 		t.Errorf("at the time advised: %+v", refusal)
 	}
-	leave, _ := g.Acquire(narrow, s, now)
-	if _, refusal := g.Acquire(narrow, s, now); refusal == nil {
+	release, _ := limiter.Acquire(narrow, s, now)
+	if _, refusal := limiter.Acquire(narrow, s, now); refusal == nil {
 		t.Error("beyond the concurrency")
 	}
-	leave()
-	if _, refusal := g.Acquire(narrow, s, now); refusal != nil {
+	release()
+	if _, refusal := limiter.Acquire(narrow, s, now); refusal != nil {
 		t.Errorf("after leaving: %+v", refusal)
 	}
 	bounded := &config.Service{ID: "bounded", Limits: config.Limits{Concurrent: 1}}
-	g.Acquire(free, bounded, now)
-	if _, refusal := g.Acquire(free, bounded, now); refusal == nil || refusal.Scope != "service" {
+	limiter.Acquire(free, bounded, now)
+	if _, refusal := limiter.Acquire(free, bounded, now); refusal == nil || refusal.Scope != "service" {
 		t.Errorf("service bound: %+v", refusal)
 	}
 }
 
-// work runs requests of some customers through a queue and returns the mean
+// meanWaits runs requests of some customers through a queue and returns the mean
 // wait of each customer's.
-func work(t *testing.T, loads map[string]int, shares map[string]float64) map[string]time.Duration {
+func meanWaits(t *testing.T, loads map[string]int, shares map[string]float64) map[string]time.Duration {
 	waits := map[string]time.Duration{}
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.NewQueue(100_000, func() int { return 4 })
 		var mu sync.Mutex
-		var group sync.WaitGroup
+		var wg sync.WaitGroup
 		for customer, requests := range loads {
 			for range requests {
-				group.Go(func() {
-					began := time.Now()
+				wg.Go(func() {
+					started := time.Now()
 					release, err := q.Acquire(context.Background(), admission.Request{Customer: customer, Share: shares[customer], Cost: 1, TimeLeft: time.Hour})
 					if err != nil {
 						t.Error(err)
 						return
 					}
 					mu.Lock()
-					waits[customer] += time.Since(began)
+					waits[customer] += time.Since(started)
 					mu.Unlock()
 					time.Sleep(100 * time.Millisecond)
 					release()
 				})
 			}
 		}
-		group.Wait()
+		wg.Wait()
 	})
 	for customer := range waits {
 		waits[customer] /= time.Duration(loads[customer])
@@ -84,50 +84,50 @@
 	return waits
 }
 
-// TestBurstQueuesBehindItself lets one customer send twenty times as much as
+// TestBurstDoesNotDelayOtherCustomers lets one customer send twenty times as much as
 // another at the same moment.
 //
 // The small customer's requests take turns with the burst: its mean wait is a
 // small multiple of what it would be alone, not that of the burst.
-func TestBurstQueuesBehindItself(t *testing.T) {
-	alone := work(t, map[string]int{"small": 20}, nil)["small"]
-	both := work(t, map[string]int{"small": 20, "large": 400}, nil)
-	t.Logf("alone %s, beside a burst %s (the burst itself %s)", alone, both["small"], both["large"])
-	if both["small"] > 3*alone+200*time.Millisecond || both["large"] < 4*both["small"] {
-		t.Errorf("alone %s, beside a burst %s", alone, both["small"])
+func TestBurstDoesNotDelayOtherCustomers(t *testing.T) {
+	alone := meanWaits(t, map[string]int{"small": 20}, nil)["small"]
+	together := meanWaits(t, map[string]int{"small": 20, "large": 400}, nil)
+	t.Logf("alone %s, beside a burst %s (the burst itself %s)", alone, together["small"], together["large"])
+	if together["small"] > 3*alone+200*time.Millisecond || together["large"] < 4*together["small"] {
+		t.Errorf("alone %s, beside a burst %s", alone, together["small"])
 	}
-	weighted := work(t, map[string]int{"a": 100, "b": 100}, map[string]float64{"a": 3, "b": 1})
+	weighted := meanWaits(t, map[string]int{"a": 100, "b": 100}, map[string]float64{"a": 3, "b": 1})
 	if weighted["a"] >= weighted["b"] {
 		t.Errorf("share 3 waits %s, share 1 %s", weighted["a"], weighted["b"])
 	}
 }
 
-// served is what one customer saw.
-type served struct {
-	mu      sync.Mutex
-	times   []time.Duration
-	refused int
+// outcomes is what one customer saw.
+type outcomes struct {
+	mu        sync.Mutex
+	latencies []time.Duration
+	refused   int
 }
 
-func (s *served) p95() time.Duration {
-	sort.Slice(s.times, func(i, j int) bool { return s.times[i] < s.times[j] })
-	return s.times[len(s.times)*95/100]
+func (o *outcomes) p95() time.Duration {
+	sort.Slice(o.latencies, func(i, j int) bool { return o.latencies[i] < o.latencies[j] })
+	return o.latencies[len(o.latencies)*95/100]
 }
 
-// offer sends requests at a mean rate for a while, each holding its place for hold
+// generateLoad sends requests at a mean rate for a while, each holding its place for hold
 // (or for a time that varies about it) and given up on after deadline.
-func offer(q *admission.Queue, group *sync.WaitGroup, customer string, perSecond float64, length, hold, deadline time.Duration, varies bool) *served {
-	out := &served{}
-	group.Go(func() {
+func generateLoad(q *admission.Queue, wg *sync.WaitGroup, customer string, perSecond float64, length, hold, deadline time.Duration, varyHold bool) *outcomes {
+	out := &outcomes{}
+	wg.Go(func() {
 		random := rand.New(rand.NewPCG(1, xxhash.Sum64String(customer)))
 		for end := time.Now().Add(length); time.Now().Before(end); {
 			time.Sleep(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)))
 			hold := hold
-			if varies {
+			if varyHold {
 				hold = time.Duration(float64(hold) * (0.25 + 1.5*random.Float64()))
 			}
-			group.Go(func() {
-				began := time.Now()
+			wg.Go(func() {
+				started := time.Now()
 				ctx, cancel := context.WithTimeout(context.Background(), deadline)
 				defer cancel()
 				release, err := q.Acquire(ctx, admission.Request{Customer: customer, Cost: 1, TimeLeft: deadline})
@@ -137,37 +137,37 @@
 				}
 				out.mu.Lock()
 				defer out.mu.Unlock()
-				if err != nil || time.Since(began) > deadline {
+				if err != nil || time.Since(started) > deadline {
 					out.refused++
 					return
 				}
-				out.times = append(out.times, time.Since(began))
+				out.latencies = append(out.latencies, time.Since(started))
 			})
 		}
 	})
 	return out
 }
 
-// TestFloodLeavesOthersAlone lets one customer send twenty times its share.
+// TestFloodDoesNotDelayOtherCustomers lets one customer send twenty times its share.
 //
 // Ten customers share forty places; nine use half of theirs. The tenth floods.
 // The callers of the nine see a p95 within 10% of that without the flood.
-func TestFloodLeavesOthersAlone(t *testing.T) {
-	const places, customers = 40, 10
+func TestFloodDoesNotDelayOtherCustomers(t *testing.T) {
+	const slots, customers = 40, 10
 	const hold = 100 * time.Millisecond
-	fair := places / hold.Seconds() / customers
+	fairRate := slots / hold.Seconds() / customers
 	p95 := func(flood float64) (worst time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
-			q := admission.NewQueue(1000, func() int { return places })
-			var group sync.WaitGroup
-			var quiet []*served
+			q := admission.NewQueue(1000, func() int { return slots })
+			var wg sync.WaitGroup
+			var quiet []*outcomes
 			for i := range customers - 1 {
-				quiet = append(quiet, offer(q, &group, fmt.Sprint("quiet", i), fair/2, time.Minute, hold, 5*time.Second, false))
+				quiet = append(quiet, generateLoad(q, &wg, fmt.Sprint("quiet", i), fairRate/2, time.Minute, hold, 5*time.Second, false))
 			}
 			if flood > 0 {
-				offer(q, &group, "flood", fair*flood, time.Minute, hold, 5*time.Second, false)
+				generateLoad(q, &wg, "flood", fairRate*flood, time.Minute, hold, 5*time.Second, false)
 			}
-			group.Wait()
+			wg.Wait()
 			for _, s := range quiet {
 				if s.refused > 0 {
 					t.Errorf("%d requests of a quiet customer were refused", s.refused)
@@ -184,60 +184,60 @@
 	}
 }
 
-// TestOverloadKeepsGoodput offers twice the capacity, then half of it.
+// TestGoodputUnderOverload offers twice the capacity, then half of it.
 //
 // What is served within its time stays at 95% or more of the capacity, the rest
 // is refused; when the overload ends, nothing of it lingers: the next requests
 // are served at once.
-func TestOverloadKeepsGoodput(t *testing.T) {
-	const places = 20
+func TestGoodputUnderOverload(t *testing.T) {
+	const slots = 20
 	const hold, deadline, length = 100 * time.Millisecond, time.Second, time.Minute
-	capacity := places / hold.Seconds()
+	capacity := slots / hold.Seconds()
 	synctest.Test(t, func(t *testing.T) {
-		q := admission.NewQueue(1000, func() int { return places })
-		var group sync.WaitGroup
-		a := offer(q, &group, "a", capacity, length, hold, deadline, true)
-		b := offer(q, &group, "bb", capacity, length, hold, deadline, true)
-		group.Wait()
-		goodput := float64(len(a.times)+len(b.times)) / length.Seconds() / capacity
+		q := admission.NewQueue(1000, func() int { return slots })
+		var wg sync.WaitGroup
+		a := generateLoad(q, &wg, "a", capacity, length, hold, deadline, true)
+		b := generateLoad(q, &wg, "bb", capacity, length, hold, deadline, true)
+		wg.Wait()
+		goodput := float64(len(a.latencies)+len(b.latencies)) / length.Seconds() / capacity
 		t.Logf("goodput %.3f of capacity at twice the capacity, %d refused", goodput, a.refused+b.refused)
 		if goodput < 0.95 {
 			t.Errorf("goodput %.3f of the capacity", goodput)
 		}
-		after := offer(q, &group, "ccc", capacity/2, 10*time.Second, hold, deadline, false)
-		group.Wait()
+		after := generateLoad(q, &wg, "ccc", capacity/2, 10*time.Second, hold, deadline, false)
+		wg.Wait()
 		if after.refused > 0 || after.p95() > hold*110/100 {
 			t.Errorf("after the overload: %d refused, p95 %s", after.refused, after.p95())
 		}
 	})
 }
 
-// TestTooLateWhenItsTurnComes lets a run take longer than the queue had learned.
+// TestQueuedRequestIsRefusedWhenTooLateToStart lets a run take longer than the queue had learned.
 //
 // A request waits behind it and was not too late when it came. When the place is
 // free, what is left of its time is less than a run takes: its caller is told so
 // at once, and the place goes to nobody in vain.
-func TestTooLateWhenItsTurnComes(t *testing.T) {
+func TestQueuedRequestIsRefusedWhenTooLateToStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.NewQueue(10, func() int { return 1 })
-		enter := func(left time.Duration) (func(), error) {
-			return q.Acquire(t.Context(), admission.Request{Customer: "c", TimeLeft: left})
+		acquire := func(timeLeft time.Duration) (func(), error) {
+			return q.Acquire(t.Context(), admission.Request{Customer: "c", TimeLeft: timeLeft})
 		}
-		release, _ := enter(time.Hour)
+		release, _ := acquire(time.Hour)
 		time.Sleep(9600 * time.Millisecond) // a mean of 600 ms is learned
 		release()
-		release, _ = enter(time.Hour)
-		waited := make(chan error)
+		release, _ = acquire(time.Hour)
+		result := make(chan error)
 		go func() {
-			_, err := enter(2 * time.Second)
-			waited <- err
+			_, err := acquire(2 * time.Second)
+			result <- err
 		}()
 		time.Sleep(1500 * time.Millisecond)
 		release()
-		if err := <-waited; !errors.Is(err, admission.ErrTooLate) {
+		if err := <-result; !errors.Is(err, admission.ErrTooLate) {
 			t.Errorf("%v", err)
 		}
-		if _, err := enter(time.Hour); err != nil {
+		if _, err := acquire(time.Hour); err != nil {
 			t.Errorf("the place is not free: %v", err)
 		}
 	})
@@ -267,13 +267,13 @@
 		time.Sleep(time.Minute)
 		release()
 		release() // a second release changes nothing
-		next, err := q.Acquire(t.Context(), admission.Request{TimeLeft: time.Hour})
+		releaseNext, err := q.Acquire(t.Context(), admission.Request{TimeLeft: time.Hour})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := q.Acquire(t.Context(), admission.Request{TimeLeft: time.Millisecond}); !errors.Is(err, admission.ErrTooLate) {
 			t.Errorf("would be too late: %v", err)
 		}
-		next()
+		releaseNext()
 	})
 }
--- a/internal/coordination/admission/queue.go
+++ b/internal/coordination/admission/queue.go
@@ -154,11 +154,11 @@
 	if c.running < q.fairSlots(c, limit) {
 		return false
 	}
-	most := 0.0
+	maxLoad := 0.0
 	for _, other := range q.customers {
-		most = max(most, float64(other.running)/other.share)
+		maxLoad = max(maxLoad, float64(other.running)/other.share)
 	}
-	return float64(c.running)/c.share >= most/2
+	return float64(c.running)/c.share >= maxLoad/2
 }
 
 // fairSlots is a customer's part of the places among those present and one more
