--- a/internal/coordination/idempotency/binder.go
+++ b/internal/coordination/idempotency/binder.go
@@ -45,40 +45,40 @@
 	return Config{BatchDelay: 5 * time.Millisecond, Retention: 24 * time.Hour, MaxWaiting: 4096, MaxTries: 8, CallTimeout: 2 * time.Second}
 }
 
-type request struct {
-	key    Key
-	ticket Ticket
-	answer chan answer
+type bindRequest struct {
+	key      Key
+	proposed Ticket
+	result   chan bindResult
 }
 
-type answer struct {
+type bindResult struct {
 	ticket Ticket
 	err    error
 }
 
 // Binder binds keys for one entry.
 type Binder struct {
-	cfg Config
-	api objectapi.API
-	in  *ring.Ring[request]
+	cfg   Config
+	api   objectapi.API
+	queue *ring.Ring[bindRequest]
 }
 
 // NewBinder returns a binder; Run must run for it to answer.
 func NewBinder(cfg Config, api objectapi.API) *Binder {
-	return &Binder{cfg: cfg, api: api, in: ring.New[request](cfg.MaxWaiting)}
+	return &Binder{cfg: cfg, api: api, queue: ring.New[bindRequest](cfg.MaxWaiting)}
 }
 
 // Bind binds key to the proposed ticket, or returns the ticket that it is
 // already bound to. With the zero ticket it only looks the key up, and returns
 // the zero ticket if it is not bound.
 func (b *Binder) Bind(ctx context.Context, key Key, proposed Ticket) (Ticket, error) {
-	r := request{key: key, ticket: proposed, answer: make(chan answer, 1)}
-	if !b.in.TryPush(r) {
+	r := bindRequest{key: key, proposed: proposed, result: make(chan bindResult, 1)}
+	if !b.queue.TryPush(r) {
 		return Ticket{}, ErrBusy
 	}
 	select {
-	case a := <-r.answer:
-		return a.ticket, a.err
+	case res := <-r.result:
+		return res.ticket, res.err
 	case <-ctx.Done():
 		return Ticket{}, errors.WithType(context.Cause(ctx), ErrPlatform)
 	}
@@ -87,7 +87,7 @@
 // Run gathers and writes until ctx ends.
 func (b *Binder) Run(ctx context.Context) {
 	for {
-		first, err := b.in.Pop(ctx)
+		first, err := b.queue.Pop(ctx)
 		if err != nil {
 			return
 		}
@@ -97,26 +97,26 @@
 		case <-ctx.Done():
 		}
 		timer.Stop()
-		for number, batch := range b.gather(first) {
+		for number, batch := range b.collectBatches(first) {
 			// Pages are independent: a slow one must not hold up the others.
 			go b.bindPage(ctx, number, batch)
 		}
 	}
 }
 
-func (b *Binder) gather(first request) map[int][]request {
-	batches := map[int][]request{pageOf(first.key): {first}}
+func (b *Binder) collectBatches(first bindRequest) map[int][]bindRequest {
+	batches := map[int][]bindRequest{pageNumber(first.key): {first}}
 	for range b.cfg.MaxWaiting {
-		r, ok := b.in.TryPop()
+		r, ok := b.queue.TryPop()
 		if !ok {
 			break
 		}
-		batches[pageOf(r.key)] = append(batches[pageOf(r.key)], r)
+		batches[pageNumber(r.key)] = append(batches[pageNumber(r.key)], r)
 	}
 	return batches
 }
 
-func pageOf(k Key) int { return int(k[0]) % PageCount }
+func pageNumber(k Key) int { return int(k[0]) % PageCount }
 
 func pageKey(number int) string { return fmt.Sprintf("%s%03d", pagePrefix, number) }
 
@@ -126,23 +126,23 @@
 // as for plans: either copy that arrives binds the same tickets, and a
 // conflict leads to a read that shows who came first. Only a page that was read
 // or written with certainty gives answers.
-func (b *Binder) bindPage(ctx context.Context, number int, batch []request) {
+func (b *Binder) bindPage(ctx context.Context, number int, batch []bindRequest) {
 	var err error
 	for range b.cfg.MaxTries {
 		var p page
-		if p, err = b.read(ctx, number); err != nil {
+		if p, err = b.readPage(ctx, number); err != nil {
 			break
 		}
-		wanted := b.merge(&p, batch)
-		if !wanted {
+		added := b.addUnbound(&p, batch)
+		if !added {
 			b.reply(p, batch)
 			return
 		}
-		if len(p.rows) > maxRows {
+		if len(p.bindings) > maxBindings {
 			err = ErrPageFull
 			break
 		}
-		err = b.write(ctx, number, p)
+		err = b.writePage(ctx, number, p)
 		if err == nil {
 			b.reply(p, batch)
 			return
@@ -155,16 +155,16 @@
 		err = errors.WithType(err, ErrPlatform)
 	}
 	for _, r := range batch {
-		r.answer <- answer{err: err}
+		r.result <- bindResult{err: err}
 	}
 }
 
-func (b *Binder) read(ctx context.Context, number int) (page, error) {
+func (b *Binder) readPage(ctx context.Context, number int) (page, error) {
 	ctx, cancel := context.WithTimeout(ctx, b.cfg.CallTimeout)
 	defer cancel()
 	o, err := b.api.Get(ctx, pageKey(number))
 	if errors.Is(err, objectapi.ErrNotFound) {
-		return page{rows: map[Key]binding{}}, nil
+		return page{bindings: map[Key]binding{}}, nil
 	}
 	if err != nil {
 		return page{}, err
@@ -174,13 +174,13 @@
 	return p, err
 }
 
-// merge adds the batch's keys that are not bound yet; false if there are none.
-func (b *Binder) merge(p *page, batch []request) bool {
+// addUnbound adds the batch's keys that are not bound yet; false if there are none.
+func (b *Binder) addUnbound(p *page, batch []bindRequest) bool {
 	now := time.Now()
 	added := false
 	for _, r := range batch {
-		if _, bound := p.rows[r.key]; !bound && r.ticket != (Ticket{}) {
-			p.rows[r.key] = binding{ticket: r.ticket, at: uint32(now.Unix())}
+		if _, bound := p.bindings[r.key]; !bound && r.proposed != (Ticket{}) {
+			p.bindings[r.key] = binding{ticket: r.proposed, boundAt: uint32(now.Unix())}
 			added = true
 		}
 	}
@@ -190,15 +190,15 @@
 	return added
 }
 
-func (b *Binder) write(ctx context.Context, number int, p page) error {
+func (b *Binder) writePage(ctx context.Context, number int, p page) error {
 	ctx, cancel := context.WithTimeout(ctx, b.cfg.CallTimeout)
 	defer cancel()
 	_, err := b.api.Put(ctx, pageKey(number), p.encode(), p.version)
 	return err
 }
 
-func (b *Binder) reply(p page, batch []request) {
+func (b *Binder) reply(p page, batch []bindRequest) {
 	for _, r := range batch {
-		r.answer <- answer{ticket: p.rows[r.key].ticket}
+		r.result <- bindResult{ticket: p.bindings[r.key].ticket}
 	}
 }
--- a/internal/coordination/idempotency/binder_test.go
+++ b/internal/coordination/idempotency/binder_test.go
@@ -14,21 +14,21 @@
 	"limpetwall/internal/transport/objectapi/standin"
 )
 
-// lossy fails writes as told: 'l' loses the answer, 'n' the request, 'd' is down.
-type lossy struct {
+// lossyStore fails writes as told: 'l' loses the answer, 'n' the request, 'd' is down.
+type lossyStore struct {
 	*standin.Store
 	mu     sync.Mutex
 	script string
 }
 
-func (l *lossy) Put(ctx context.Context, key string, value []byte, version int64) (objectapi.Object, error) {
+func (l *lossyStore) Put(ctx context.Context, key string, value []byte, version int64) (objectapi.Object, error) {
 	l.mu.Lock()
-	fate := byte('o')
+	outcome := byte('o')
 	if l.script != "" {
-		fate, l.script = l.script[0], l.script[1:]
+		outcome, l.script = l.script[0], l.script[1:]
 	}
 	l.mu.Unlock()
-	switch fate {
+	switch outcome {
 	case 'l':
 		l.Store.Put(ctx, key, value, version)
 		return objectapi.Object{}, objectapi.ErrOutcomeUnknown
@@ -40,39 +40,39 @@
 	return l.Store.Put(ctx, key, value, version)
 }
 
-// binders runs some binders on one platform inside a bubble.
-func binders(t *testing.T, script string, count int, test func(api *lossy, all []*Binder)) {
+// withBinders runs some withBinders on one platform inside a bubble.
+func withBinders(t *testing.T, script string, count int, test func(api *lossyStore, all []*Binder)) {
 	synctest.Test(t, func(t *testing.T) {
-		api := &lossy{Store: standin.New(), script: script}
+		api := &lossyStore{Store: standin.New(), script: script}
 		ctx, cancel := context.WithCancel(context.Background())
-		var group sync.WaitGroup
+		var wg sync.WaitGroup
 		var all []*Binder
 		for range count {
 			b := NewBinder(DefaultConfig(), api)
 			all = append(all, b)
-			group.Go(func() { b.Run(ctx) })
+			wg.Go(func() { b.Run(ctx) })
 		}
 		test(api, all)
 		cancel()
-		group.Wait()
+		wg.Wait()
 	})
 }
 
-// TestOneKeyOneTicket binds the same keys through four entries at once, while
+// TestConcurrentBindsAgreeOnOneTicket binds the same keys through four entries at once, while
 // writes and answers are lost.
 //
 // Every entry proposes its own ticket; all of them must be told the same one.
-func TestOneKeyOneTicket(t *testing.T) {
+func TestConcurrentBindsAgreeOnOneTicket(t *testing.T) {
 	for _, script := range []string{"", "l", "n", "lnl", "nnl", "lll"} {
-		binders(t, script, 4, func(_ *lossy, all []*Binder) {
+		withBinders(t, script, 4, func(_ *lossyStore, all []*Binder) {
 			const keys = 50
 			var mu sync.Mutex
 			got := map[int]map[Ticket]bool{}
-			var group sync.WaitGroup
-			for who, b := range all {
+			var wg sync.WaitGroup
+			for entry, b := range all {
 				for k := range keys {
-					group.Go(func() {
-						ticket, err := b.Bind(context.Background(), HashKey("c", "s", fmt.Sprint(k)), Ticket{uint64(who + 1), uint64(k + 1)})
+					wg.Go(func() {
+						ticket, err := b.Bind(context.Background(), HashKey("c", "s", fmt.Sprint(k)), Ticket{uint64(entry + 1), uint64(k + 1)})
 						if err != nil {
 							t.Errorf("script %q key %d: %v", script, k, err)
 							return
@@ -86,7 +86,7 @@
 					})
 				}
 			}
-			group.Wait()
+			wg.Wait()
 			for k, tickets := range got {
 				if len(tickets) != 1 {
 					t.Errorf("script %q key %d is bound to %d tickets", script, k, len(tickets))
@@ -96,17 +96,17 @@
 	}
 }
 
-func TestPlatformDown(t *testing.T) {
-	binders(t, "d", 1, func(_ *lossy, all []*Binder) {
+func TestBindFailsWhilePlatformIsUnavailable(t *testing.T) {
+	withBinders(t, "d", 1, func(_ *lossyStore, all []*Binder) {
 		if _, err := all[0].Bind(context.Background(), HashKey("c", "s", "k"), Ticket{1, 1}); !errors.Is(err, ErrPlatform) {
 			t.Errorf("%v", err)
 		}
 	})
 }
 
-// TestLookUpBindsNothing asks for a key with the zero ticket.
-func TestLookUpBindsNothing(t *testing.T) {
-	binders(t, "", 1, func(_ *lossy, all []*Binder) {
+// TestLookupDoesNotBind asks for a key with the zero ticket.
+func TestLookupDoesNotBind(t *testing.T) {
+	withBinders(t, "", 1, func(_ *lossyStore, all []*Binder) {
 		key := HashKey("c", "s", "k")
 		for _, want := range []Ticket{{}, {}} {
 			if got, err := all[0].Bind(context.Background(), key, Ticket{}); err != nil || got != want {
@@ -120,9 +120,9 @@
 	})
 }
 
-// TestBindingsAgeOut keeps a binding for its time and frees its room after it.
-func TestBindingsAgeOut(t *testing.T) {
-	binders(t, "", 1, func(_ *lossy, all []*Binder) {
+// TestBindingsExpire keeps a binding for its time and frees its room after it.
+func TestBindingsExpire(t *testing.T) {
+	withBinders(t, "", 1, func(_ *lossyStore, all []*Binder) {
 		key := HashKey("c", "s", "k")
 		all[0].Bind(context.Background(), key, Ticket{1, 1})
 		time.Sleep(DefaultConfig().Retention - time.Minute)
@@ -130,19 +130,19 @@
 			t.Errorf("before its time: %v", got)
 		}
 	})
-	p := page{rows: map[Key]binding{{1}: {at: 100}, {2}: {at: 500}}}
+	p := page{bindings: map[Key]binding{{1}: {boundAt: 100}, {2}: {boundAt: 500}}}
 	p.prune(time.Unix(600, 0), 200*time.Second)
-	if len(p.rows) != 1 {
-		t.Errorf("%d rows after pruning", len(p.rows))
+	if len(p.bindings) != 1 {
+		t.Errorf("%d rows after pruning", len(p.bindings))
 	}
 }
 
-func TestFullPageRefuses(t *testing.T) {
+func TestFullPageRefusesNewKeys(t *testing.T) {
 	api := standin.New()
-	p := page{rows: map[Key]binding{}}
+	p := page{bindings: map[Key]binding{}}
 	now := uint32(time.Now().Unix())
-	for i := range maxRows {
-		p.rows[Key{0, byte(i >> 16), byte(i >> 8), byte(i)}] = binding{ticket: Ticket{1, uint64(i)}, at: now}
+	for i := range maxBindings {
+		p.bindings[Key{0, byte(i >> 16), byte(i >> 8), byte(i)}] = binding{ticket: Ticket{1, uint64(i)}, boundAt: now}
 	}
 	if data := p.encode(); len(data) > objectapi.MaxValue {
 		t.Fatalf("a full page has %d bytes", len(data))
@@ -161,10 +161,10 @@
 	}
 }
 
-func TestKeysOfCustomersDiffer(t *testing.T) {
+func TestHashKeySeparatesFields(t *testing.T) {
 	seen := map[Key]bool{}
-	for _, parts := range [][3]string{{"a", "b", "c"}, {"ab", "", "c"}, {"a", "bc", ""}, {"b", "a", "c"}, {"", "ab", "c"}} {
-		seen[HashKey(parts[0], parts[1], parts[2])] = true
+	for _, fields := range [][3]string{{"a", "b", "c"}, {"ab", "", "c"}, {"a", "bc", ""}, {"b", "a", "c"}, {"", "ab", "c"}} {
+		seen[HashKey(fields[0], fields[1], fields[2])] = true
 	}
 	if len(seen) != 5 {
 		t.Errorf("%d different keys of 5", len(seen))
@@ -172,7 +172,7 @@
 }
 
 func FuzzDecodePage(f *testing.F) {
-	f.Add(make([]byte, rowSize))
+	f.Add(make([]byte, bindingSize))
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		p, err := decodePage(data)
--- a/internal/coordination/idempotency/page.go
+++ b/internal/coordination/idempotency/page.go
@@ -26,11 +26,11 @@
 // that no customer can form another's key.
 func HashKey(customer, service, key string) Key {
 	h := sha256.New()
-	for _, part := range []string{customer, service, key} {
+	for _, field := range []string{customer, service, key} {
 		var n [4]byte
-		binary.BigEndian.PutUint32(n[:], uint32(len(part)))
+		binary.BigEndian.PutUint32(n[:], uint32(len(field)))
 		h.Write(n[:])
-		h.Write([]byte(part))
+		h.Write([]byte(field))
 	}
 	return Key(h.Sum(nil)[:KeySize])
 }
@@ -44,59 +44,59 @@
 // binding is one row of a page.
 type binding struct {
 	ticket Ticket
-	// at is in Unix seconds, by the writer's clock.
-	at uint32
+	// boundAt is in Unix seconds, by the writer's clock.
+	boundAt uint32
 }
 
 const (
-	rowSize = KeySize + 8 + 8 + 4
-	// maxRows keeps a page below the platform's largest value.
-	maxRows = 20_000
+	bindingSize = KeySize + 8 + 8 + 4
+	// maxBindings keeps a page below the platform's largest value.
+	maxBindings = 20_000
 )
 
 // ErrMalformed tells that a page's bytes are not whole rows.
 const ErrMalformed = errors.ConstError("malformed claims page")
 
 type page struct {
-	rows    map[Key]binding
-	version int64
+	bindings map[Key]binding
+	version  int64
 }
 
 func decodePage(data []byte) (page, error) {
-	if len(data)%rowSize != 0 {
+	if len(data)%bindingSize != 0 {
 		return page{}, errors.Annotatef(ErrMalformed, "%d bytes", len(data))
 	}
-	p := page{rows: make(map[Key]binding, len(data)/rowSize)}
-	for ; len(data) > 0; data = data[rowSize:] {
-		p.rows[Key(data[:KeySize])] = binding{
+	p := page{bindings: make(map[Key]binding, len(data)/bindingSize)}
+	for ; len(data) > 0; data = data[bindingSize:] {
+		p.bindings[Key(data[:KeySize])] = binding{
 			ticket: Ticket{
 				Incarnation: binary.BigEndian.Uint64(data[KeySize:]),
 				Sequence:    binary.BigEndian.Uint64(data[KeySize+8:]),
 			},
-			at: binary.BigEndian.Uint32(data[KeySize+16:]),
+			boundAt: binary.BigEndian.Uint32(data[KeySize+16:]),
 		}
 	}
 	return p, nil
 }
 
 func (p page) encode() []byte {
-	out := make([]byte, 0, len(p.rows)*rowSize)
-	for key, b := range p.rows {
+	out := make([]byte, 0, len(p.bindings)*bindingSize)
+	for key, b := range p.bindings {
 		out = append(out, key[:]...)
 		out = binary.BigEndian.AppendUint64(out, b.ticket.Incarnation)
 		out = binary.BigEndian.AppendUint64(out, b.ticket.Sequence)
-		out = binary.BigEndian.AppendUint32(out, b.at)
+		out = binary.BigEndian.AppendUint32(out, b.boundAt)
 	}
 	return out
 }
 
 // prune drops the bindings older than keep. A caller that retries later than
 // that would run a second time; keep is a documented promise to callers.
-func (p page) prune(now time.Time, keep time.Duration) {
-	oldest := now.Add(-keep).Unix()
-	for key, b := range p.rows {
-		if int64(b.at) < oldest {
-			delete(p.rows, key)
+func (p page) prune(now time.Time, retention time.Duration) {
+	oldest := now.Add(-retention).Unix()
+	for key, b := range p.bindings {
+		if int64(b.boundAt) < oldest {
+			delete(p.bindings, key)
 		}
 	}
 }
