--- a/internal/coordination/errorbudget/errorbudget.go
+++ b/internal/coordination/errorbudget/errorbudget.go
@@ -20,7 +20,7 @@
 var Windows = []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour}
 
 const (
-	keptMinutes = 6 * 60
+	retainedMinutes = 6 * 60
 	// Histograms cover 0.1 ms to two minutes, in units of 0.1 ms, to 2 digits.
 	histogramUnit   = 100 * time.Microsecond
 	histogramMax    = int64(2 * time.Minute / histogramUnit)
@@ -35,15 +35,15 @@
 	Service  string `json:"service"`
 }
 
-type minute struct {
-	at        uint32
-	good, bad uint32
+type minuteCounts struct {
+	unixMinute uint32
+	good, bad  uint32
 }
 
 type series struct {
 	target  float64
 	ttftMS  int
-	minutes [keptMinutes]minute
+	minutes [retainedMinutes]minuteCounts
 	ttft    *hdrhistogram.Histogram
 }
 
@@ -71,23 +71,23 @@
 }
 
 // Observe adds a request's outcome.
-func (b *Recorder) Observe(o Observation) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s, ok := b.series[o.Key]
+func (r *Recorder) Observe(o Observation) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	s, ok := r.series[o.Key]
 	if !ok {
-		if len(b.series) >= maxSeries {
-			b.skipped++
+		if len(r.series) >= maxSeries {
+			r.skipped++
 			return
 		}
 		s = &series{ttft: hdrhistogram.New(1, histogramMax, histogramDigits)}
-		b.series[o.Key] = s
+		r.series[o.Key] = s
 	}
 	s.target, s.ttftMS = o.Target, o.TTFTMS
-	number := uint32(o.At.Unix() / 60)
-	m := &s.minutes[number%keptMinutes]
-	if m.at != number {
-		*m = minute{at: number}
+	unixMinute := uint32(o.At.Unix() / 60)
+	m := &s.minutes[unixMinute%retainedMinutes]
+	if m.unixMinute != unixMinute {
+		*m = minuteCounts{unixMinute: unixMinute}
 	}
 	if o.Failed || o.TTFT > time.Duration(o.TTFTMS)*time.Millisecond {
 		m.bad++
@@ -122,26 +122,26 @@
 }
 
 // Snapshot returns the book's content within the longest window.
-func (b *Recorder) Snapshot(now time.Time) Snapshot {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	snap := Snapshot{Skipped: b.skipped}
-	oldest := uint32(now.Unix()/60 - keptMinutes)
-	for key, s := range b.series {
+func (r *Recorder) Snapshot(now time.Time) Snapshot {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	snap := Snapshot{Skipped: r.skipped}
+	oldest := uint32(now.Unix()/60 - retainedMinutes)
+	for key, s := range r.series {
 		out := Series{Key: key, Target: s.target, TTFTMS: s.ttftMS, TTFT: s.ttft.Export()}
 		for _, m := range s.minutes {
-			if m.at > oldest && m.good+m.bad > 0 {
-				out.Minutes = append(out.Minutes, Minute{At: int64(m.at), Good: int64(m.good), Bad: int64(m.bad)})
+			if m.unixMinute > oldest && m.good+m.bad > 0 {
+				out.Minutes = append(out.Minutes, Minute{At: int64(m.unixMinute), Good: int64(m.good), Bad: int64(m.bad)})
 			}
 		}
 		sort.Slice(out.Minutes, func(i, j int) bool { return out.Minutes[i].At < out.Minutes[j].At })
 		snap.Series = append(snap.Series, out)
 	}
-	sort.Slice(snap.Series, func(i, j int) bool { return less(snap.Series[i].Key, snap.Series[j].Key) })
+	sort.Slice(snap.Series, func(i, j int) bool { return lessKey(snap.Series[i].Key, snap.Series[j].Key) })
 	return snap
 }
 
-func less(a, b Key) bool {
+func lessKey(a, b Key) bool {
 	if a.Customer != b.Customer {
 		return a.Customer < b.Customer
 	}
@@ -155,16 +155,16 @@
 		return Snapshot{}, errors.WithType(err, ErrMalformed)
 	}
 	for _, series := range s.Series {
-		if !sameLayout(series.TTFT) {
+		if !hasSameLayout(series.TTFT) {
 			return Snapshot{}, errors.Annotate(ErrMalformed, "another histogram layout")
 		}
 	}
 	return s, nil
 }
 
-// sameLayout guards the merge: the library panics on a histogram of other bounds,
+// hasSameLayout guards the merge: the library panics on a histogram of other bounds,
 // and one process of another version would take every reporting entry down.
-func sameLayout(h *hdrhistogram.Snapshot) bool {
+func hasSameLayout(h *hdrhistogram.Snapshot) bool {
 	if h == nil {
 		return true
 	}
@@ -224,7 +224,7 @@
 	for key, m := range merged {
 		report.Rows = append(report.Rows, m.row(key, now))
 	}
-	sort.Slice(report.Rows, func(i, j int) bool { return less(report.Rows[i].Key, report.Rows[j].Key) })
+	sort.Slice(report.Rows, func(i, j int) bool { return lessKey(report.Rows[i].Key, report.Rows[j].Key) })
 	return report
 }
 
@@ -250,10 +250,10 @@
 }
 
 func (m *mergedSeries) row(key Key, now time.Time) Row {
-	ms := func(q float64) float64 {
+	quantileMS := func(q float64) float64 {
 		return float64(m.ttft.ValueAtQuantile(q)) * float64(histogramUnit) / float64(time.Millisecond)
 	}
-	r := Row{Key: key, Target: m.target, TTFTMS: m.ttftMS, P50MS: ms(50), P95MS: ms(95), P99MS: ms(99)}
+	r := Row{Key: key, Target: m.target, TTFTMS: m.ttftMS, P50MS: quantileMS(50), P95MS: quantileMS(95), P99MS: quantileMS(99)}
 	for _, length := range Windows {
 		r.Windows = append(r.Windows, m.window(length, now))
 	}
--- a/internal/coordination/errorbudget/errorbudget_test.go
+++ b/internal/coordination/errorbudget/errorbudget_test.go
@@ -12,16 +12,16 @@
 
 var now = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
-func observe(b *errorbudget.Recorder, ago, ttft time.Duration, failed bool) {
-	b.Observe(errorbudget.Observation{
+func observe(r *errorbudget.Recorder, ago, ttft time.Duration, failed bool) {
+	r.Observe(errorbudget.Observation{
 		Key: errorbudget.Key{Customer: "c", Service: "s"}, Target: 0.95, TTFTMS: 390, TTFT: ttft, Failed: failed, At: now.Add(-ago),
 	})
 }
 
-// transport sends a snapshot as entries do.
-func transport(t *testing.T, b *errorbudget.Recorder) errorbudget.Snapshot {
+// encodeAndDecode sends a snapshot as entries do.
+func encodeAndDecode(t *testing.T, r *errorbudget.Recorder) errorbudget.Snapshot {
 	t.Helper()
-	data, err := json.Marshal(b.Snapshot(now))
+	data, err := json.Marshal(r.Snapshot(now))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 		observe(second, 45*time.Minute, 100*time.Millisecond, false)
 	}
 	observe(second, 7*time.Hour, 0, true) // older than every window
-	r := errorbudget.Merge([]errorbudget.Snapshot{transport(t, first), transport(t, second)}, []string{"entry-3"}, now)
+	r := errorbudget.Merge([]errorbudget.Snapshot{encodeAndDecode(t, first), encodeAndDecode(t, second)}, []string{"entry-3"}, now)
 	if len(r.Rows) != 1 || r.Entries != 2 {
 		t.Fatalf("%+v", r)
 	}
@@ -58,21 +58,21 @@
 		"5m0s": {90, 10, 2}, "30m0s": {90, 10, 2}, "1h0m0s": {190, 10, 1}, "6h0m0s": {190, 10, 1},
 	}
 	for _, w := range row.Windows {
-		x := want[w.Length]
-		if w.Good != x.good || w.Bad != x.bad || math.Abs(w.Rate-x.rate) > 1e-9 {
-			t.Errorf("%+v, want %+v", w, x)
+		expected := want[w.Length]
+		if w.Good != expected.good || w.Bad != expected.bad || math.Abs(w.Rate-expected.rate) > 1e-9 {
+			t.Errorf("%+v, want %+v", w, expected)
 		}
 	}
 	if row.P50MS < 99 || row.P50MS > 102 || row.P99MS < 980 || row.P99MS > 1020 {
 		t.Errorf("p50 %g p99 %g", row.P50MS, row.P99MS)
 	}
-	var page strings.Builder
-	if err := errorbudget.WriteHTML(&page, r); err != nil {
+	var html strings.Builder
+	if err := errorbudget.WriteHTML(&html, r); err != nil {
 		t.Fatal(err)
 	}
-	for _, part := range []string{"entry-3", "<td>c</td>", "burn 5m0s", "<svg", `class="warm"`, "</html>"} {
-		if !strings.Contains(page.String(), part) {
-			t.Errorf("no %q in the page", part)
+	for _, text := range []string{"entry-3", "<td>c</td>", "burn 5m0s", "<svg", `class="warm"`, "</html>"} {
+		if !strings.Contains(html.String(), text) {
+			t.Errorf("no %q in the page", text)
 		}
 	}
 }
--- a/internal/coordination/errorbudget/html.go
+++ b/internal/coordination/errorbudget/html.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	plotWidth  = 360
-	plotHeight = 48
-	plotSpan   = 60 // minutes
+	plotWidth   = 360
+	plotHeight  = 48
+	plotMinutes = 60 // minutes
 )
 
-var page = template.Must(template.New("burn").Funcs(template.FuncMap{"plot": plot, "class": class}).Parse(`<!doctype html>
+var reportTemplate = template.Must(template.New("burn").Funcs(template.FuncMap{"plot": plot, "class": rateClass}).Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Service-level burn</title>
 <style>
 body{font:14px system-ui,sans-serif;margin:2em;color:#222}
@@ -35,7 +35,7 @@
 {{end}}</table></body></html>
 `))
 
-func class(rate float64) string {
+func rateClass(rate float64) string {
 	switch {
 	case rate >= 6:
 		return "hot"
@@ -47,21 +47,21 @@
 
 // plot draws requests a minute as bars.
 func plot(minutes []Minute, now int64) template.HTML {
-	most := int64(1)
+	maxTotal := int64(1)
 	for _, m := range minutes {
-		most = max(most, m.Good+m.Bad)
+		maxTotal = max(maxTotal, m.Good+m.Bad)
 	}
 	var svg strings.Builder
 	fmt.Fprintf(&svg, `<svg width="%d" height="%d" role="img">`, plotWidth, plotHeight)
-	const bar = plotWidth / plotSpan
+	const barWidth = plotWidth / plotMinutes
 	for _, m := range minutes {
-		x := (plotSpan - 1 - (now/60 - m.At)) * bar
+		x := (plotMinutes - 1 - (now/60 - m.At)) * barWidth
 		if x < 0 {
 			continue
 		}
-		good, bad := m.Good*plotHeight/most, m.Bad*plotHeight/most
-		fmt.Fprintf(&svg, `<rect x="%d" y="%d" width="%d" height="%d" fill="#999"/>`, x, plotHeight-good, bar-1, good)
-		fmt.Fprintf(&svg, `<rect x="%d" y="%d" width="%d" height="%d" fill="#c33"/>`, x, plotHeight-good-bad, bar-1, bad)
+		good, bad := m.Good*plotHeight/maxTotal, m.Bad*plotHeight/maxTotal
+		fmt.Fprintf(&svg, `<rect x="%d" y="%d" width="%d" height="%d" fill="#999"/>`, x, plotHeight-good, barWidth-1, good)
+		fmt.Fprintf(&svg, `<rect x="%d" y="%d" width="%d" height="%d" fill="#c33"/>`, x, plotHeight-good-bad, barWidth-1, bad)
 	}
 	svg.WriteString("</svg>")
 	return template.HTML(svg.String())
@@ -77,5 +77,5 @@
 		Report
 		Windows [][]string
 	}{r, [][]string{lengths}}
-	return errors.Trace(page.Execute(w, data))
+	return errors.Trace(reportTemplate.Execute(w, data))
 }
