--- a/internal/coordination/leasenotice/broadcaster.go
+++ b/internal/coordination/leasenotice/broadcaster.go
@@ -23,9 +23,9 @@
 	"limpetwall/internal/transport/datagram"
 )
 
-// maxValue bounds what a notice may inflate to, in bytes. Deflated, the ids of about 140
+// maxValueSize bounds what a notice may inflate to, in bytes. Deflated, the ids of about 140
 // engines fit a datagram.
-const maxValue = 64 << 10
+const maxValueSize = 64 << 10
 
 // errTooLarge tells that a value does not fit a notice.
 const errTooLarge = errors.ConstError("value does not fit a datagram")
@@ -41,45 +41,45 @@
 	Log      *zap.Logger
 
 	mu sync.Mutex
-	// sent is the version last sent.
-	sent int64
+	// lastSent is the version last lastSent.
+	lastSent int64
 }
 
 // Announce sends a version of the lease's object to all others, once.
-func (c *Broadcaster) Announce(version int64, value []byte) {
-	if !c.isNew(version) {
+func (b *Broadcaster) Announce(version int64, value []byte) {
+	if !b.markSent(version) {
 		return
 	}
 	data, err := encode(version, value)
 	if err != nil {
-		c.Log.Warn("lease notice is not sent", zap.Int64("version", version), zap.Int("bytes", len(value)), zap.Error(err))
+		b.Log.Warn("lease notice is not sent", zap.Int64("version", version), zap.Int("bytes", len(value)), zap.Error(err))
 		return
 	}
-	hosts := c.Hosts()
-	failed := c.Group.Send(data, hosts)
-	c.Log.Debug("lease notice", zap.Int64("version", version), zap.Int("hosts", len(hosts)), zap.Int("not_sent", failed))
+	hosts := b.Hosts()
+	failed := b.Group.Send(data, hosts)
+	b.Log.Debug("lease notice", zap.Int64("version", version), zap.Int("hosts", len(hosts)), zap.Int("not_sent", failed))
 }
 
-// isNew tells whether a version is to be sent; a later call with it says no.
-func (c *Broadcaster) isNew(version int64) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if version <= c.sent {
+// markSent tells whether a version is to be sent; a later call with it says no.
+func (b *Broadcaster) markSent(version int64) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if version <= b.lastSent {
 		return false
 	}
-	c.sent = version
+	b.lastSent = version
 	return true
 }
 
 // Run takes in notices until ctx ends.
-func (c *Broadcaster) Run(ctx context.Context) {
-	c.Group.Receive(ctx, func(data []byte, from net.Addr) {
+func (b *Broadcaster) Run(ctx context.Context) {
+	b.Group.Receive(ctx, func(data []byte, from net.Addr) {
 		version, value, err := decode(data)
 		if err != nil {
-			c.Log.Warn("lease notice does not decode", zap.Stringer("from", from), zap.Int("bytes", len(data)), zap.Error(err))
+			b.Log.Warn("lease notice does not decode", zap.Stringer("from", from), zap.Int("bytes", len(data)), zap.Error(err))
 			return
 		}
-		c.OnNotice(version, value)
+		b.OnNotice(version, value)
 	})
 }
 
@@ -110,8 +110,8 @@
 	if m.GetVersion() <= 0 {
 		return 0, nil, errors.Errorf("version %d is not above 0", m.GetVersion())
 	}
-	value, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(m.GetValue())), maxValue+1))
-	if err == nil && len(value) > maxValue {
+	value, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(m.GetValue())), maxValueSize+1))
+	if err == nil && len(value) > maxValueSize {
 		err = errTooLarge
 	}
 	return m.GetVersion(), value, errors.Trace(err)
--- a/internal/coordination/leasenotice/broadcaster_test.go
+++ b/internal/coordination/leasenotice/broadcaster_test.go
@@ -14,20 +14,20 @@
 	"limpetwall/internal/transport/datagram"
 )
 
-type told struct {
+type notice struct {
 	version int64
 	value   string
 }
 
-// openCaster starts a caster on an address of the loopback network.
-func openCaster(t *testing.T, host string, port uint16, others ...string) (*Broadcaster, chan told) {
+// startBroadcaster starts a caster on an address of the loopback network.
+func startBroadcaster(t *testing.T, host string, port uint16, others ...string) (*Broadcaster, chan notice) {
 	t.Helper()
 	group, err := datagram.Listen(netip.AddrPortFrom(netip.MustParseAddr(host), port))
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard := make(chan told, 8)
-	c := &Broadcaster{
+	received := make(chan notice, 8)
+	b := &Broadcaster{
 		Group: group, Log: zap.NewNop(),
 		Hosts: func() []netip.Addr {
 			var out []netip.Addr
@@ -36,64 +36,64 @@
 			}
 			return out
 		},
-		OnNotice: func(version int64, value []byte) { heard <- told{version, string(value)} },
+		OnNotice: func(version int64, value []byte) { received <- notice{version, string(value)} },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.Run(ctx)
+		b.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-done
 	})
-	return c, heard
+	return b, received
 }
 
-func next(t *testing.T, heard chan told) told {
+func receive(t *testing.T, received chan notice) notice {
 	t.Helper()
 	select {
-	case got := <-heard:
+	case got := <-received:
 		return got
 	case <-time.After(5 * time.Second):
 		t.Fatal("no notice came")
-		return told{}
+		return notice{}
 	}
 }
 
-// TestNoticesReachAllOthers sends two versions, one of them twice; bytes that are no notice
+// TestNoticesReachAllPeersOnce sends two versions, one of them twice; bytes that are no notice
 // come between.
 //
 // Each version comes once: the holder's step is repeated whether or not it wrote anew. What
 // does not decode changes nothing, whoever sends it.
-func TestNoticesReachAllOthers(t *testing.T) {
-	a, _ := openCaster(t, "127.0.0.41", 0, "127.0.0.42", "127.0.0.43")
-	_, heardB := openCaster(t, "127.0.0.42", a.Group.Port)
-	_, heardC := openCaster(t, "127.0.0.43", a.Group.Port)
+func TestNoticesReachAllPeersOnce(t *testing.T) {
+	a, _ := startBroadcaster(t, "127.0.0.41", 0, "127.0.0.42", "127.0.0.43")
+	_, receivedB := startBroadcaster(t, "127.0.0.42", a.Group.Port)
+	_, receivedC := startBroadcaster(t, "127.0.0.43", a.Group.Port)
 	a.Announce(7, []byte(`{"holder":"a"}`))
 	a.Announce(7, []byte(`{"holder":"a"}`))
 	a.Group.Send([]byte("\xff\xffnot a notice"), a.Hosts())
 	a.Announce(8, []byte(`{"holder":"a","sequence":2}`))
-	for _, heard := range []chan told{heardB, heardC} {
-		if got := next(t, heard); got != (told{7, `{"holder":"a"}`}) {
+	for _, received := range []chan notice{receivedB, receivedC} {
+		if got := receive(t, received); got != (notice{7, `{"holder":"a"}`}) {
 			t.Errorf("first notice %+v", got)
 		}
-		if got := next(t, heard); got != (told{8, `{"holder":"a","sequence":2}`}) {
+		if got := receive(t, received); got != (notice{8, `{"holder":"a","sequence":2}`}) {
 			t.Errorf("second notice %+v", got)
 		}
 	}
 }
 
-// TestNoticeIsBounded encodes values that do not fit, and decodes one that inflates to more
+// TestNoticeSizeIsBounded encodes values that do not fit, and decodes one that inflates to more
 // than any value has: a notice must not take a process's memory.
-func TestNoticeIsBounded(t *testing.T) {
+func TestNoticeSizeIsBounded(t *testing.T) {
 	random := make([]byte, datagram.MaxSize)
 	rand.Read(random)
 	if _, err := encode(1, []byte(hex.EncodeToString(random))); err == nil {
 		t.Error("a value that does not fit was encoded")
 	}
-	data, err := encode(1, bytes.Repeat([]byte("a"), maxValue+1))
+	data, err := encode(1, bytes.Repeat([]byte("a"), maxValueSize+1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		version, value, err := decode(data)
-		if err == nil && (version <= 0 || len(value) > maxValue) {
+		if err == nil && (version <= 0 || len(value) > maxValueSize) {
 			t.Errorf("version %d with %d bytes", version, len(value))
 		}
 	})
