--- a/internal/coordination/quarantine/bench_test.go
+++ b/internal/coordination/quarantine/bench_test.go
@@ -10,7 +10,7 @@
 // fullBook holds as many suspects as a book takes, at 64 crashes.
 func fullBook() *Tracker {
 	b := NewTracker()
-	for i := range maxCases - 1 {
+	for i := range maxRecords - 1 {
 		b.RecordCrash(keyOf(fmt.Sprint(i)), uint64(i%64), RequestInfo{}, start)
 	}
 	return b
--- a/internal/coordination/quarantine/blame.go
+++ b/internal/coordination/quarantine/blame.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// crashesToBlame a request must have been at, with no likelier culprit at any of them: fewer coincide by
+	// minBlamedCrashes a request must have been at, with no likelier culprit at any of them: fewer coincide by
 	// chance while endpoints are killed one after the other.
-	crashesToBlame = 3
-	// ownCrashes of them must have no other request that was at as many: two that were always together can't
+	minBlamedCrashes = 3
+	// minDistinctCrashes of them must have no other request that was at as many: two that were always together can't
 	// be told apart yet.
-	ownCrashes = 2
-	// crashesEnough is enough also for requests that can't be told apart, or among many crashes of another cause.
-	crashesEnough = 5
-	// background is how long before a request's first crash others still speak for another cause. Those longer ago may
+	minDistinctCrashes = 2
+	// sufficientCrashes is enough also for requests that can't be told apart, or among many crashes of another cause.
+	sufficientCrashes = 5
+	// backgroundWindow is how long before a request's first crash others still speak for another cause. Those longer ago may
 	// have been its own, of which evidence was lost with the processes that had it.
-	background = 5 * time.Second
-	// settleTime after the last crash a verdict stands: by then what other processes know of the same crash has
+	backgroundWindow = 5 * time.Second
+	// verdictDelay after the last crash a verdict stands: by then what other processes know of the same crash has
 	// come. The request is refused meanwhile.
-	settleTime = 750 * time.Millisecond
-	// heldPause is when a caller comes back that was refused before the verdict stands.
-	heldPause = time.Second
+	verdictDelay = 750 * time.Millisecond
+	// pendingRetryAfter is when a caller comes back that was refused before the verdict stands.
+	pendingRetryAfter = time.Second
 )
 
 // Standing is how a request stands with the book.
@@ -51,35 +51,35 @@
 }
 
 // Check tells whether a request may run.
-func (b *Tracker) Check(key fingerprint.Key, now time.Time) Status {
-	if b.IsEmpty() {
+func (t *Tracker) Check(key fingerprint.Key, now time.Time) Status {
+	if t.IsEmpty() {
 		return Status{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	c := b.cases[key]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.records[key]
 	switch {
-	case c == nil || !now.Before(c.expires()):
+	case r == nil || !now.Before(r.expiresAt()):
 		return Status{}
-	case c.Level > 0 && now.Before(c.Until):
-		return Status{Standing: Quarantined, After: c.Until.Sub(now), Crashes: len(c.Crashes)}
-	case c.Level > 0:
-		return Status{Standing: OnTrial, After: heldPause, Crashes: len(c.Crashes)}
-	case b.isBlamed(c):
-		return Status{Standing: Pending, After: heldPause, Crashes: len(c.Crashes)}
+	case r.Level > 0 && now.Before(r.Until):
+		return Status{Standing: Quarantined, After: r.Until.Sub(now), Crashes: len(r.Crashes)}
+	case r.Level > 0:
+		return Status{Standing: OnTrial, After: pendingRetryAfter, Crashes: len(r.Crashes)}
+	case t.isBlamed(r):
+		return Status{Standing: Pending, After: pendingRetryAfter, Crashes: len(r.Crashes)}
 	}
 	return Status{}
 }
 
 // IsSuspect tells whether a request was at a crash: it should not be run twice at once.
-func (b *Tracker) IsSuspect(key fingerprint.Key) bool {
-	if b.IsEmpty() {
+func (t *Tracker) IsSuspect(key fingerprint.Key) bool {
+	if t.IsEmpty() {
 		return false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	c := b.cases[key]
-	return c != nil && (len(c.Crashes) > 0 || c.Level > 0)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.records[key]
+	return r != nil && (len(r.Crashes) > 0 || r.Level > 0)
 }
 
 // isBlamed tells whether the crashes that a request was at are its doing.
@@ -87,62 +87,62 @@
 // A crash is that of the request that was at most crashes: one that only ran beside a culprit is at some of the
 // culprit's, and hardly at all. And a culprit is at most of the crashes since shortly before it came: while endpoints are
 // killed, a request that is tried again may be at several, but endpoints without it are killed as well.
-func (b *Tracker) isBlamed(c *Record) bool {
-	if len(c.Crashes) < crashesToBlame {
+func (t *Tracker) isBlamed(r *Record) bool {
+	if len(r.Crashes) < minBlamedCrashes {
 		return false
 	}
-	blamed, own := 0, 0
+	blamed, distinct := 0, 0
 	var first time.Time
-	for _, one := range c.Crashes {
-		at := b.crashes[one.Incarnation]
-		if first.IsZero() || at.seen.Before(first) {
-			first = at.seen
+	for _, crash := range r.Crashes {
+		event := t.crashes[crash.Incarnation]
+		if first.IsZero() || event.firstSeen.Before(first) {
+			first = event.firstSeen
 		}
-		switch b.likeliest(at, c) {
-		case likelierOther:
-		case alike:
+		switch t.likelihoodAt(event, r) {
+		case lessLikely:
+		case equallyLikely:
 			blamed++
-		case likeliestSelf:
+		case mostLikely:
 			blamed++
-			own++
+			distinct++
 		}
 	}
-	if blamed >= crashesEnough {
+	if blamed >= sufficientCrashes {
 		return true
 	}
-	return blamed >= crashesToBlame && own >= ownCrashes && blamed > b.crashesWithout(c, first.Add(-background))
+	return blamed >= minBlamedCrashes && distinct >= minDistinctCrashes && blamed > t.countCrashesWithout(r, first.Add(-backgroundWindow))
 }
 
 // likelihood compares a request with the others that were at a crash.
 type likelihood uint8
 
 const (
-	likeliestSelf likelihood = iota
-	alike
-	likelierOther
+	mostLikely likelihood = iota
+	equallyLikely
+	lessLikely
 )
 
-func (b *Tracker) likeliest(at *crash, c *Record) likelihood {
-	found := likeliestSelf
-	for _, key := range at.present {
-		other := b.cases[key]
+func (t *Tracker) likelihoodAt(event *endpointCrash, r *Record) likelihood {
+	result := mostLikely
+	for _, key := range event.inFlight {
+		other := t.records[key]
 		switch {
-		case other == c:
-		case other.Level > 0 || len(other.Crashes) > len(c.Crashes):
-			return likelierOther
-		case len(other.Crashes) == len(c.Crashes):
-			found = alike
+		case other == r:
+		case other.Level > 0 || len(other.Crashes) > len(r.Crashes):
+			return lessLikely
+		case len(other.Crashes) == len(r.Crashes):
+			result = equallyLikely
 		}
 	}
-	return found
+	return result
 }
 
-// crashesWithout counts the crashes since a time at which neither the request nor another culprit was present: several
+// countCrashesWithout counts the crashes since a time at which neither the request nor another culprit was present: several
 // that come at once would else speak for each other.
-func (b *Tracker) crashesWithout(c *Record, since time.Time) int {
+func (t *Tracker) countCrashesWithout(r *Record, since time.Time) int {
 	n := 0
-	for incarnation, at := range b.crashes {
-		if !c.wasAt(incarnation) && !at.seen.Before(since) && !slices.ContainsFunc(at.present, b.isCulprit) {
+	for incarnation, event := range t.crashes {
+		if !r.hasCrash(incarnation) && !event.firstSeen.Before(since) && !slices.ContainsFunc(event.inFlight, t.isCulprit) {
 			n++
 		}
 	}
@@ -150,7 +150,7 @@
 }
 
 // isCulprit tells whether a request is in quarantine, or at as many crashes as one that may be.
-func (b *Tracker) isCulprit(key fingerprint.Key) bool {
-	c := b.cases[key]
-	return c.Level > 0 || len(c.Crashes) >= crashesToBlame
+func (t *Tracker) isCulprit(key fingerprint.Key) bool {
+	r := t.records[key]
+	return r.Level > 0 || len(r.Crashes) >= minBlamedCrashes
 }
--- a/internal/coordination/quarantine/guard.go
+++ b/internal/coordination/quarantine/guard.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// settleEvery is how often verdicts are looked at.
-	settleEvery = 250 * time.Millisecond
+	// evaluationInterval is how often verdicts are looked at.
+	evaluationInterval = 250 * time.Millisecond
 	// callTimeout bounds one call to the store.
 	callTimeout = 700 * time.Millisecond
-	// syncPause follows a failed call to the store.
-	syncPause = time.Second
-	// syncIdle is how often the record is read while no request is in quarantine, and at most.
-	syncIdle = time.Minute
-	// syncActive is how often a small fleet reads it else: operators lift quarantines there.
-	syncActive = 4 * time.Second
-	// syncShared is the number of processes whose reads suffice for that; in a larger fleet each reads less often,
+	// syncRetryDelay follows a failed call to the store.
+	syncRetryDelay = time.Second
+	// idleSyncInterval is how often the record is read while no request is in quarantine, and at most.
+	idleSyncInterval = time.Minute
+	// activeSyncInterval is how often a small fleet reads it else: operators lift quarantines there.
+	activeSyncInterval = 4 * time.Second
+	// processesPerSync is the number of processes whose reads suffice for that; in a larger fleet each reads less often,
 	// and who has read tells the others.
-	syncShared = 8
-	// maxConflicts bounds the tries of one change of the record.
-	maxConflicts = 5
+	processesPerSync = 8
+	// maxWriteAttempts bounds the tries of one change of the record.
+	maxWriteAttempts = 5
 )
 
 // Guard keeps requests in quarantine from being run. Its fields are set before use; nil guards nothing.
@@ -45,15 +45,15 @@
 	Now func() time.Time
 	// Processes counts those that share the record.
 	Processes func() int
-	// noted is the digest of the quarantines that were logged, levels theirs; of the duty.
-	noted  uint64
-	levels map[fingerprint.Key]uint32
+	// loggedDigest is the digest of the quarantines that were logged, levels theirs; of the duty.
+	loggedDigest uint64
+	loggedLevels map[fingerprint.Key]uint32
 }
 
 // NewGuard returns a guard over a book.
-func NewGuard(book *Tracker, store objectapi.API, log *zap.Logger, registry metrics.Registry, now func() time.Time) *Guard {
+func NewGuard(quarantines *Tracker, store objectapi.API, log *zap.Logger, registry metrics.Registry, now func() time.Time) *Guard {
 	return &Guard{
-		Quarantines: book, Store: store, Log: log, Metrics: registry, Now: now,
+		Quarantines: quarantines, Store: store, Log: log, Metrics: registry, Now: now,
 		Processes: func() int { return 1 },
 	}
 }
@@ -67,11 +67,11 @@
 	if g.IsIdle() {
 		return nil
 	}
-	v := g.Quarantines.Check(key, g.Now())
-	if v.Standing == OnTrial && g.takeTrial(ctx, key) {
+	status := g.Quarantines.Check(key, g.Now())
+	if status.Standing == OnTrial && g.claimTrial(ctx, key) {
 		return nil
 	}
-	return g.refusal(v)
+	return g.refusal(status)
 }
 
 // IsBlocked tells whether a request must not be run again after a run of it broke.
@@ -79,16 +79,16 @@
 	return !g.IsIdle() && g.Quarantines.Check(key, g.Now()).Standing != Clear
 }
 
-func (g *Guard) refusal(v Status) *apierror.Error {
-	if v.Standing == Clear {
+func (g *Guard) refusal(status Status) *apierror.Error {
+	if status.Standing == Clear {
 		return nil
 	}
 	g.count("refused")
 	message := "this request has crashed the endpoints that ran it"
-	if v.Crashes > 0 {
-		message = "this request was underway at " + strconv.Itoa(v.Crashes) + " endpoints when they crashed"
+	if status.Crashes > 0 {
+		message = "this request was underway at " + strconv.Itoa(status.Crashes) + " endpoints when they crashed"
 	}
-	switch v.Standing {
+	switch status.Standing {
 	case Pending:
 		message += "; whether it is the cause is being settled"
 	case OnTrial:
@@ -96,16 +96,16 @@
 	default:
 		message += ", and is not run until its quarantine ends"
 	}
-	return apierror.Later(http.StatusServiceUnavailable, apierror.CodeQuarantined, message, v.After)
+	return apierror.Later(http.StatusServiceUnavailable, apierror.CodeQuarantined, message, status.After)
 }
 
 func (g *Guard) count(name string) {
 	metrics.GetOrRegisterCounter("quarantine."+name, g.Metrics).Inc(1)
 }
 
-// blameWithin is how long after its first output a run may still be what crashed its endpoint: a longer one has
+// blameWindow is how long after its first output a run may still be what crashed its endpoint: a longer one has
 // shown that it can be run.
-const blameWithin = 500 * time.Millisecond
+const blameWindow = 500 * time.Millisecond
 
 // Attempt is one attempt of a request at one endpoint.
 type Attempt struct {
@@ -118,10 +118,10 @@
 
 // RecordCrash holds an endpoint's crash against a run that was underway, unless it was sent to an endpoint that had
 // crashed already or had run well for long.
-func (g *Guard) RecordCrash(run Attempt, incarnation uint64, crashed time.Time) {
-	ranWell := !run.Output.IsZero() && crashed.Sub(run.Output) > blameWithin
-	if g != nil && !ranWell && run.Sent.Before(crashed) {
-		g.Quarantines.RecordCrash(run.Key, incarnation, run.About, g.Now())
+func (g *Guard) RecordCrash(attempt Attempt, incarnation uint64, crashed time.Time) {
+	ranWell := !attempt.Output.IsZero() && crashed.Sub(attempt.Output) > blameWindow
+	if g != nil && !ranWell && attempt.Sent.Before(crashed) {
+		g.Quarantines.RecordCrash(attempt.Key, incarnation, attempt.About, g.Now())
 	}
 }
 
@@ -155,7 +155,7 @@
 
 // Run settles verdicts and keeps the record until ctx ends.
 func (g *Guard) Run(ctx context.Context) {
-	settle := time.NewTicker(settleEvery)
+	settle := time.NewTicker(evaluationInterval)
 	defer settle.Stop()
 	sync := time.NewTimer(0)
 	defer sync.Stop()
@@ -163,7 +163,7 @@
 		select {
 		case <-settle.C:
 			g.Quarantines.Evaluate(g.Now())
-			if wait, changed := g.noteChanges(); changed {
+			if wait, changed := g.logChanges(); changed {
 				sync.Reset(wait)
 			}
 		case <-sync.C:
@@ -174,69 +174,69 @@
 	}
 }
 
-// noteChanges logs how the quarantines differ from the last time, and tells when the record is to be brought up to
+// logChanges logs how the quarantines differ from the last time, and tells when the record is to be brought up to
 // them. A process that has not seen the request leaves that to those that have, and makes sure a little later: all of
 // a large fleet would write at once.
-func (g *Guard) noteChanges() (wait time.Duration, changed bool) {
+func (g *Guard) logChanges() (wait time.Duration, changed bool) {
 	digest := g.Quarantines.Digest()
-	if digest == g.noted {
+	if digest == g.loggedDigest {
 		return 0, false
 	}
-	g.noted = digest
-	wait = pause.Jitter(syncActive)
+	g.loggedDigest = digest
+	wait = pause.Jitter(activeSyncInterval)
 	levels := map[fingerprint.Key]uint32{}
 	inForce := int64(0)
-	for _, c := range g.Quarantines.DurableRecords() {
-		levels[c.Key] = c.Level
-		if c.Level > 0 {
+	for _, r := range g.Quarantines.DurableRecords() {
+		levels[r.Key] = r.Level
+		if r.Level > 0 {
 			inForce++
 		}
-		switch before := g.levels[c.Key]; {
-		case c.Level > before:
-			g.logQuarantine(c)
-		case c.Level == 0 && before > 0:
+		switch before := g.loggedLevels[r.Key]; {
+		case r.Level > before:
+			g.logQuarantine(r)
+		case r.Level == 0 && before > 0:
 			g.count("lifted")
-			g.Log.Info("quarantine lifted", zap.Stringer("fingerprint", c.Key))
+			g.Log.Info("quarantine lifted", zap.Stringer("fingerprint", r.Key))
 		default:
 			continue
 		}
-		if c.About != (RequestInfo{}) {
+		if r.About != (RequestInfo{}) {
 			wait = 0
 		}
 	}
-	g.levels = levels
+	g.loggedLevels = levels
 	metrics.GetOrRegisterGauge("quarantine.in_force", g.Metrics).Update(inForce)
 	return wait, true
 }
 
-func (g *Guard) logQuarantine(c Record) {
+func (g *Guard) logQuarantine(r Record) {
 	g.count("begun")
-	g.Log.Warn("request in quarantine", zap.Stringer("fingerprint", c.Key), zap.String("service", c.About.Service),
-		zap.String("customer", c.About.Customer), zap.String("method", c.About.Method), zap.String("target", c.About.Target),
-		zap.Int("crashes", len(c.Crashes)), zap.Uint32("level", c.Level), zap.Duration("left", c.Until.Sub(g.Now())))
+	g.Log.Warn("request in quarantine", zap.Stringer("fingerprint", r.Key), zap.String("service", r.About.Service),
+		zap.String("customer", r.About.Customer), zap.String("method", r.About.Method), zap.String("target", r.About.Target),
+		zap.Int("crashes", len(r.Crashes)), zap.Uint32("level", r.Level), zap.Duration("left", r.Until.Sub(g.Now())))
 }
 
 // syncOnce returns the time until the next.
 func (g *Guard) syncOnce(ctx context.Context) time.Duration {
 	if err := g.sync(ctx); err != nil {
 		g.Log.Info("record of quarantines can't be kept", zap.Error(err))
-		return pause.Jitter(syncPause)
+		return pause.Jitter(syncRetryDelay)
 	}
 	if len(g.Quarantines.DurableRecords()) == 0 {
-		return pause.Jitter(syncIdle)
+		return pause.Jitter(idleSyncInterval)
 	}
-	return pause.Jitter(min(syncIdle, syncActive*time.Duration(max(1, g.Processes()/syncShared))))
+	return pause.Jitter(min(idleSyncInterval, activeSyncInterval*time.Duration(max(1, g.Processes()/processesPerSync))))
 }
 
 // sync takes in the record, and writes what it lacks.
 func (g *Guard) sync(ctx context.Context) error {
-	for range maxConflicts {
+	for range maxWriteAttempts {
 		entries, version, err := g.read(ctx)
 		if err != nil {
 			return err
 		}
-		now, timeOfDay := g.Now(), time.Now()
-		next, changed := update(entries, g.Quarantines.DurableRecords(), now, timeOfDay)
+		now, wallTime := g.Now(), time.Now()
+		next, changed := updateEntries(entries, g.Quarantines.DurableRecords(), now, wallTime)
 		if !changed {
 			return nil
 		}
@@ -253,17 +253,17 @@
 func (g *Guard) read(ctx context.Context) ([]Entry, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	entries, version, err := readRecord(ctx, g.Store)
-	if errors.Is(err, errRecord) {
+	entries, version, err := loadEntries(ctx, g.Store)
+	if errors.Is(err, errMalformedList) {
 		g.Log.Error("record of quarantines can't be read", zap.Error(err))
 		return nil, version, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	now, timeOfDay := g.Now(), time.Now()
+	now, wallTime := g.Now(), time.Now()
 	for _, e := range entries {
-		g.Quarantines.Merge(e.toCase(now, timeOfDay), now)
+		g.Quarantines.Merge(e.toRecord(now, wallTime), now)
 	}
 	return entries, version, nil
 }
@@ -271,24 +271,24 @@
 func (g *Guard) write(ctx context.Context, entries []Entry, version int64) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return writeRecord(ctx, g.Store, entries, version)
+	return saveEntries(ctx, g.Store, entries, version)
 }
 
-// takeTrial asks the store for the only run that a request gets after its quarantine. The entry that is written
+// claimTrial asks the store for the only run that a request gets after its quarantine. The entry that is written
 // already holds the next quarantine: if this process ends, or the run crashes its endpoint, nothing more has to be done.
-func (g *Guard) takeTrial(ctx context.Context, key fingerprint.Key) bool {
+func (g *Guard) claimTrial(ctx context.Context, key fingerprint.Key) bool {
 	entries, version, err := g.read(ctx)
 	if err != nil || g.Quarantines.Check(key, g.Now()).Standing != OnTrial {
 		return false
 	}
-	now, timeOfDay := g.Now(), time.Now()
-	cases := g.Quarantines.DurableRecords()
-	for i := range cases {
-		if cases[i].Key == key {
-			cases[i].quarantine(now)
+	now, wallTime := g.Now(), time.Now()
+	records := g.Quarantines.DurableRecords()
+	for i := range records {
+		if records[i].Key == key {
+			records[i].startQuarantine(now)
 		}
 	}
-	next, _ := update(entries, cases, now, timeOfDay)
+	next, _ := updateEntries(entries, records, now, wallTime)
 	if err := g.write(ctx, next, version); err != nil {
 		g.Log.Info("request on trial is not run", zap.Stringer("fingerprint", key), zap.Error(err))
 		return false
--- a/internal/coordination/quarantine/guard_test.go
+++ b/internal/coordination/quarantine/guard_test.go
@@ -66,7 +66,7 @@
 
 // crash lets a request be at three crashes.
 func (p *process) crash(key fingerprint.Key) {
-	for incarnation := range uint64(crashesToBlame) {
+	for incarnation := range uint64(minBlamedCrashes) {
 		about := RequestInfo{Service: "s", Customer: "club", Method: "GET", Target: "/x"}
 		p.RecordCrash(Attempt{Key: key, About: about, Sent: time.Now().Add(-time.Second)}, incarnation+1, time.Now())
 	}
@@ -105,7 +105,7 @@
 			first.crash(keyOf("a"))
 			time.Sleep(5 * time.Second)
 			s.down.Store(false)
-			time.Sleep(2 * syncPause)
+			time.Sleep(2 * syncRetryDelay)
 			first.stop()
 			second := startGuard(t, s)
 			time.Sleep(time.Second)
@@ -116,7 +116,7 @@
 				t.Errorf("another request: %q", got)
 			}
 			entries, err := ReadEntries(t.Context(), s)
-			if err != nil || len(entries) != 1 || entries[0].Target != "/x" || entries[0].Crashes != crashesToBlame {
+			if err != nil || len(entries) != 1 || entries[0].Target != "/x" || entries[0].Crashes != minBlamedCrashes {
 				t.Errorf("%+v %v", entries, err)
 			}
 			second.stop()
@@ -131,8 +131,8 @@
 		s := &store{Store: standin.New()}
 		p := startGuard(t, s)
 		p.RecordCrash(Attempt{Key: keyOf("a"), About: RequestInfo{Target: "/x"}, Sent: time.Now().Add(-time.Second)}, 1, time.Now())
-		p.Quarantines.Merge(Record{Key: keyOf("a"), Level: 1, Crashes: crashesAt(time.Now(), 1, 2, 3), Until: time.Now().Add(firstQuarantine)}, time.Now())
-		p.Quarantines.Merge(Record{Key: keyOf("unseen"), Level: 1, Crashes: crashesAt(time.Now(), 4, 5, 6), Until: time.Now().Add(firstQuarantine)}, time.Now())
+		p.Quarantines.Merge(Record{Key: keyOf("a"), Level: 1, Crashes: crashesAt(time.Now(), 1, 2, 3), Until: time.Now().Add(initialQuarantine)}, time.Now())
+		p.Quarantines.Merge(Record{Key: keyOf("unseen"), Level: 1, Crashes: crashesAt(time.Now(), 4, 5, 6), Until: time.Now().Add(initialQuarantine)}, time.Now())
 		time.Sleep(time.Second)
 		entries, err := ReadEntries(t.Context(), s)
 		if err != nil || len(entries) != 2 {
@@ -195,7 +195,7 @@
 		all[0].crash(keyOf("a"))
 		time.Sleep(time.Second)
 		tell(all...)
-		time.Sleep(firstQuarantine + syncActive)
+		time.Sleep(initialQuarantine + activeSyncInterval)
 		s.down.Store(true)
 		if got := all[0].code(t, keyOf("a")); got != apierror.CodeQuarantined {
 			t.Errorf("a trial without the store: %q", got)
@@ -215,7 +215,7 @@
 				t.Errorf("round %d: %d trials", round, trials.Load())
 			}
 			// The trial ends without a word: its process may have been killed.
-			time.Sleep(2*firstQuarantine<<round + syncIdle)
+			time.Sleep(2*initialQuarantine<<round + idleSyncInterval)
 		}
 		all[2].RecordCompletion(keyOf("a"))
 		tell(all...)
@@ -236,7 +236,7 @@
 		p.crash(keyOf("a"))
 		time.Sleep(time.Second)
 		tell(p, other)
-		time.Sleep(firstQuarantine + syncActive)
+		time.Sleep(initialQuarantine + activeSyncInterval)
 		s.loses.Store(true)
 		if got := p.code(t, keyOf("a")); got != apierror.CodeQuarantined {
 			t.Errorf("a trial on an unknown outcome: %q", got)
@@ -254,7 +254,7 @@
 func TestUnreadableRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{Store: standin.New()}
-		if _, err := s.Store.Put(t.Context(), recordKey, []byte(`{"entries":[{"fingerprint":"short"}]}`), 0); err != nil {
+		if _, err := s.Store.Put(t.Context(), objectKey, []byte(`{"entries":[{"fingerprint":"short"}]}`), 0); err != nil {
 			t.Fatal(err)
 		}
 		p := startGuard(t, s)
@@ -273,7 +273,7 @@
 		s := &store{Store: standin.New()}
 		p := startGuard(t, s)
 		time.Sleep(time.Hour)
-		if calls := s.calls.Load(); calls > 2*int64(time.Hour/syncIdle) {
+		if calls := s.calls.Load(); calls > 2*int64(time.Hour/idleSyncInterval) {
 			t.Errorf("%d calls in an hour", calls)
 		}
 		p.stop()
@@ -289,8 +289,8 @@
 		blamed bool
 	}{
 		"had not begun":        {Attempt{Sent: crashed.Add(-time.Minute)}, true},
-		"had just begun":       {Attempt{Sent: crashed.Add(-time.Minute), Output: crashed.Add(-blameWithin)}, true},
-		"had run well":         {Attempt{Sent: crashed.Add(-time.Minute), Output: crashed.Add(-blameWithin - 1)}, false},
+		"had just begun":       {Attempt{Sent: crashed.Add(-time.Minute), Output: crashed.Add(-blameWindow)}, true},
+		"had run well":         {Attempt{Sent: crashed.Add(-time.Minute), Output: crashed.Add(-blameWindow - 1)}, false},
 		"sent after the crash": {Attempt{Sent: crashed.Add(1)}, false},
 	}
 	for name, row := range rows {
--- a/internal/coordination/quarantine/record.go
+++ b/internal/coordination/quarantine/record.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// firstQuarantine is about what an operator needs to look at the request; a longer one would punish
+	// initialQuarantine is about what an operator needs to look at the request; a longer one would punish
 	// a wrong verdict.
-	firstQuarantine = 5 * time.Minute
+	initialQuarantine = 5 * time.Minute
 	// maxQuarantine bounds the wait for a request whose endpoints have been repaired.
 	maxQuarantine = time.Hour
-	// evidenceLasts is how long a crash is held against a request that is not in quarantine.
-	evidenceLasts = 10 * time.Minute
-	// clearedLasts is how long a cleared request is remembered: longer than messages about it are underway.
-	clearedLasts = time.Minute
+	// evidenceLifetime is how long a crash is held against a request that is not in quarantine.
+	evidenceLifetime = 10 * time.Minute
+	// clearedLifetime is how long a cleared request is remembered: longer than messages about it are underway.
+	clearedLifetime = time.Minute
 	// maxCrashes bounds the crashes kept of one request; verdicts need fewer.
 	maxCrashes = 8
 )
@@ -64,111 +64,111 @@
 // maxTarget bounds what is kept of a request's target, in bytes.
 const maxTarget = 200
 
-// length of a quarantine: it doubles with each trial that failed.
-func length(level uint32) time.Duration {
-	return min(maxQuarantine, firstQuarantine<<min(max(level, 1)-1, 10))
+// quarantineDuration of a quarantine: it doubles with each trial that failed.
+func quarantineDuration(level uint32) time.Duration {
+	return min(maxQuarantine, initialQuarantine<<min(max(level, 1)-1, 10))
 }
 
 // isDurable tells whether the case must reach processes that start later.
-func (c *Record) isDurable() bool { return c.Level > 0 || c.Lifted }
+func (r *Record) isDurable() bool { return r.Level > 0 || r.Lifted }
 
-// began is when the quarantine did; zero without one.
-func (c *Record) began() time.Time {
+// startedAt is when the quarantine did; zero without one.
+func (r *Record) startedAt() time.Time {
 	switch {
-	case c.Level > 0:
-		return c.Until.Add(-length(c.Level))
-	case c.Lifted:
-		return c.changed
+	case r.Level > 0:
+		return r.Until.Add(-quarantineDuration(r.Level))
+	case r.Lifted:
+		return r.changed
 	}
 	return time.Time{}
 }
 
-// expires is when the case is forgotten.
-func (c *Record) expires() time.Time {
+// expiresAt is when the case is forgotten.
+func (r *Record) expiresAt() time.Time {
 	switch {
-	case c.Level > 0:
+	case r.Level > 0:
 		// Who asks again after that is on trial; nobody has asked for long if it is still there.
-		return c.Until.Add(maxQuarantine)
-	case c.Lifted:
-		return c.changed.Add(maxQuarantine)
-	case len(c.Crashes) == 0:
-		return c.changed.Add(clearedLasts)
+		return r.Until.Add(maxQuarantine)
+	case r.Lifted:
+		return r.changed.Add(maxQuarantine)
+	case len(r.Crashes) == 0:
+		return r.changed.Add(clearedLifetime)
 	}
-	return c.changed.Add(evidenceLasts)
+	return r.changed.Add(evidenceLifetime)
 }
 
-// quarantine begins the case's next quarantine. That of a request on trial begins with the trial: nobody else may try
+// startQuarantine begins the case's next startQuarantine. That of a request on trial begins with the trial: nobody else may try
 // meanwhile, also if the process that does ends.
-func (c *Record) quarantine(now time.Time) {
-	c.Level++
-	c.Until, c.changed = now.Add(length(c.Level)), now
+func (r *Record) startQuarantine(now time.Time) {
+	r.Level++
+	r.Until, r.changed = now.Add(quarantineDuration(r.Level)), now
 }
 
 // clear voids what is known of the case.
-func (c *Record) clear(now time.Time) {
-	c.Lifted = c.Level > 0
-	c.Round++
-	c.Crashes, c.Level, c.Until, c.changed = nil, 0, time.Time{}, now
+func (r *Record) clear(now time.Time) {
+	r.Lifted = r.Level > 0
+	r.Round++
+	r.Crashes, r.Level, r.Until, r.changed = nil, 0, time.Time{}, now
 }
 
 // merge takes in what another process knows; false if it is nothing new.
-func (c *Record) merge(o Record, now time.Time) bool {
-	if o.Round < c.Round {
+func (r *Record) merge(other Record, now time.Time) bool {
+	if other.Round < r.Round {
 		return false
 	}
-	if o.Round > c.Round {
-		about := c.About
-		*c = o
-		c.Crashes = slices.Clone(o.Crashes)
-		c.changed = now
-		if c.About == (RequestInfo{}) {
-			c.About = about
+	if other.Round > r.Round {
+		about := r.About
+		*r = other
+		r.Crashes = slices.Clone(other.Crashes)
+		r.changed = now
+		if r.About == (RequestInfo{}) {
+			r.About = about
 		}
 		return true
 	}
-	if c.About == (RequestInfo{}) {
-		c.About = o.About
+	if r.About == (RequestInfo{}) {
+		r.About = other.About
 	}
 	changed := false
-	for _, crash := range o.Crashes {
-		changed = c.addCrash(crash) || changed
+	for _, crash := range other.Crashes {
+		changed = r.addCrash(crash) || changed
 	}
-	if o.Lifted && !c.Lifted {
-		c.Lifted, changed = true, true
+	if other.Lifted && !r.Lifted {
+		r.Lifted, changed = true, true
 	}
 	switch {
-	case o.Level > c.Level:
-		c.Level, c.Until, changed = o.Level, o.Until, true
-	case o.Level == c.Level && o.Until.After(c.Until):
+	case other.Level > r.Level:
+		r.Level, r.Until, changed = other.Level, other.Until, true
+	case other.Level == r.Level && other.Until.After(r.Until):
 		// No news: processes count the same quarantine from slightly different moments.
-		c.Until = o.Until
+		r.Until = other.Until
 	}
 	if changed {
-		c.changed = now
+		r.changed = now
 	}
 	return changed
 }
 
-func (c *Record) wasAt(incarnation uint64) bool {
-	_, found := c.findCrash(incarnation)
+func (r *Record) hasCrash(incarnation uint64) bool {
+	_, found := r.findCrash(incarnation)
 	return found
 }
 
 // findCrash returns the place of an incarnation's crash among the case's.
-func (c *Record) findCrash(incarnation uint64) (at int, found bool) {
-	return slices.BinarySearchFunc(c.Crashes, incarnation, func(crash Crash, incarnation uint64) int {
+func (r *Record) findCrash(incarnation uint64) (i int, found bool) {
+	return slices.BinarySearchFunc(r.Crashes, incarnation, func(crash Crash, incarnation uint64) int {
 		return cmp.Compare(crash.Incarnation, incarnation)
 	})
 }
 
 // addCrash adds one to the crashes; false if it is known, or the case has all that it keeps.
-func (c *Record) addCrash(crash Crash) bool {
-	i, known := c.findCrash(crash.Incarnation)
+func (r *Record) addCrash(crash Crash) bool {
+	i, known := r.findCrash(crash.Incarnation)
 	if known {
-		c.Crashes[i].Seen = earlier(c.Crashes[i].Seen, crash.Seen)
+		r.Crashes[i].Seen = earlier(r.Crashes[i].Seen, crash.Seen)
 		return false
 	}
-	crashes := slices.Insert(c.Crashes, i, crash)
+	crashes := slices.Insert(r.Crashes, i, crash)
 	if len(crashes) > maxCrashes {
 		// Which ones are kept must not depend on their order of arrival.
 		if i == maxCrashes {
@@ -176,7 +176,7 @@
 		}
 		crashes = crashes[:maxCrashes]
 	}
-	c.Crashes = crashes
+	r.Crashes = crashes
 	return true
 }
 
--- a/internal/coordination/quarantine/store.go
+++ b/internal/coordination/quarantine/store.go
@@ -12,9 +12,9 @@
 	"limpetwall/internal/transport/objectapi"
 )
 
-// recordKey is the object that holds the quarantines. It is one for all: a process reads it with one call at its
+// objectKey is the object that holds the quarantines. It is one for all: a process reads it with one call at its
 // start, and two that change it at once are told so by its version.
-const recordKey = "quarantine"
+const objectKey = "quarantine"
 
 // maxEntries bounds the record, at about 400 bytes each, within what an object may hold.
 const maxEntries = 1024
@@ -32,19 +32,19 @@
 	RequestInfo
 }
 
-type record struct {
+type storedList struct {
 	Entries []Entry `json:"entries"`
 }
 
 // ReadEntries returns the quarantines in force that a store holds, for operators.
 func ReadEntries(ctx context.Context, store objectapi.API) ([]Entry, error) {
-	entries, _, err := readRecord(ctx, store)
+	entries, _, err := loadEntries(ctx, store)
 	if err != nil {
 		return nil, err
 	}
 	now, out := time.Now(), []Entry{}
 	for _, e := range entries {
-		if e.Level > 0 && !e.isOver(now) {
+		if e.Level > 0 && !e.isExpired(now) {
 			out = append(out, e)
 		}
 	}
@@ -56,8 +56,8 @@
 
 // LiftEntry ends a quarantine in the store; the processes hear of it there.
 func LiftEntry(ctx context.Context, store objectapi.API, key fingerprint.Key) error {
-	for range maxConflicts {
-		entries, version, err := readRecord(ctx, store)
+	for range maxWriteAttempts {
+		entries, version, err := loadEntries(ctx, store)
 		if err != nil {
 			return err
 		}
@@ -67,95 +67,95 @@
 		}
 		entries[i].Round++
 		entries[i].Level, entries[i].EndsMS = 0, time.Now().Add(maxQuarantine).UnixMilli()
-		if err = writeRecord(ctx, store, entries, version); !errors.Is(err, objectapi.ErrConflict) {
+		if err = saveEntries(ctx, store, entries, version); !errors.Is(err, objectapi.ErrConflict) {
 			return err
 		}
 	}
 	return objectapi.ErrConflict
 }
 
-// readRecord returns the entries and the version of the record, none and 0 before there is one.
-func readRecord(ctx context.Context, store objectapi.API) ([]Entry, int64, error) {
-	o, err := store.Get(ctx, recordKey)
+// loadEntries returns the entries and the version of the record, none and 0 before there is one.
+func loadEntries(ctx context.Context, store objectapi.API) ([]Entry, int64, error) {
+	o, err := store.Get(ctx, objectKey)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, errors.Trace(err)
 	}
-	var r record
+	var r storedList
 	if err := json.Unmarshal(o.Value, &r); err != nil {
-		return nil, o.Version, errors.WithType(err, errRecord)
+		return nil, o.Version, errors.WithType(err, errMalformedList)
 	}
 	return r.Entries, o.Version, nil
 }
 
-// errRecord tells that the record's bytes aren't what these processes write.
-const errRecord = errors.ConstError("record of quarantines does not decode")
+// errMalformedList tells that the record's bytes aren't what these processes write.
+const errMalformedList = errors.ConstError("record of quarantines does not decode")
 
-func writeRecord(ctx context.Context, store objectapi.API, entries []Entry, version int64) error {
-	data, err := json.Marshal(record{entries})
+func saveEntries(ctx context.Context, store objectapi.API, entries []Entry, version int64) error {
+	data, err := json.Marshal(storedList{entries})
 	if err != nil {
 		return errors.Trace(err)
 	}
-	_, err = store.Put(ctx, recordKey, data, version)
+	_, err = store.Put(ctx, objectKey, data, version)
 	return errors.Trace(err)
 }
 
-// toCase translates an entry's end from the time of day to this process's clock.
-func (e Entry) toCase(now, timeOfDay time.Time) Record {
-	c := Record{Key: e.Fingerprint, Round: e.Round, Level: e.Level, About: e.RequestInfo, Lifted: e.Level == 0}
+// toRecord translates an entry's end from the time of day to this process's clock.
+func (e Entry) toRecord(now, wallTime time.Time) Record {
+	r := Record{Key: e.Fingerprint, Round: e.Round, Level: e.Level, About: e.RequestInfo, Lifted: e.Level == 0}
 	if e.Level > 0 {
-		c.Until = now.Add(time.UnixMilli(e.EndsMS).Sub(timeOfDay))
+		r.Until = now.Add(time.UnixMilli(e.EndsMS).Sub(wallTime))
 	}
-	return c
+	return r
 }
 
-func entryOf(c Record, now, timeOfDay time.Time) Entry {
-	ends := c.Until
-	if c.Level == 0 {
-		ends = c.expires()
+func newEntry(r Record, now, wallTime time.Time) Entry {
+	ends := r.Until
+	if r.Level == 0 {
+		ends = r.expiresAt()
 	}
 	return Entry{
-		Fingerprint: c.Key, Round: c.Round, Level: c.Level, Crashes: len(c.Crashes), RequestInfo: c.About,
-		EndsMS: timeOfDay.Add(ends.Sub(now)).UnixMilli(),
+		Fingerprint: r.Key, Round: r.Round, Level: r.Level, Crashes: len(r.Crashes), RequestInfo: r.About,
+		EndsMS: wallTime.Add(ends.Sub(now)).UnixMilli(),
 	}
 }
 
-// isNewer tells whether a process knows more of a request than an entry says.
-func (c *Record) isNewer(e Entry) bool {
-	return c.Round > e.Round || (c.Round == e.Round && c.Level > e.Level)
+// isNewerThan tells whether a process knows more of a request than an entry says.
+func (r *Record) isNewerThan(e Entry) bool {
+	return r.Round > e.Round || (r.Round == e.Round && r.Level > e.Level)
 }
 
-// isOver tells that an entry serves nobody any more.
-func (e Entry) isOver(timeOfDay time.Time) bool {
+// isExpired tells that an entry serves nobody any more.
+func (e Entry) isExpired(wallTime time.Time) bool {
 	end := time.UnixMilli(e.EndsMS)
 	if e.Level > 0 {
 		end = end.Add(maxQuarantine)
 	}
-	return timeOfDay.After(end)
+	return wallTime.After(end)
 }
 
-// update brings entries up to what cases say; false if they say it already.
-func update(entries []Entry, cases []Record, now, timeOfDay time.Time) ([]Entry, bool) {
-	out := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.isOver(timeOfDay) })
+// updateEntries brings entries up to what cases say; false if they say it already.
+func updateEntries(entries []Entry, records []Record, now, wallTime time.Time) ([]Entry, bool) {
+	out := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.isExpired(wallTime) })
 	changed := false
-	for _, c := range cases {
-		i := slices.IndexFunc(out, func(e Entry) bool { return e.Fingerprint == c.Key })
+	for _, r := range records {
+		i := slices.IndexFunc(out, func(e Entry) bool { return e.Fingerprint == r.Key })
 		switch {
 		case i < 0 && len(out) < maxEntries:
-			out = append(out, entryOf(c, now, timeOfDay))
+			out = append(out, newEntry(r, now, wallTime))
 			changed = true
-		case i >= 0 && c.isNewer(out[i]):
+		case i >= 0 && r.isNewerThan(out[i]):
 			about := out[i].RequestInfo
-			out[i] = entryOf(c, now, timeOfDay)
-			if c.About == (RequestInfo{}) {
+			out[i] = newEntry(r, now, wallTime)
+			if r.About == (RequestInfo{}) {
 				out[i].RequestInfo = about
 			}
 			changed = true
-		case i >= 0 && out[i].RequestInfo == (RequestInfo{}) && c.About != (RequestInfo{}):
+		case i >= 0 && out[i].RequestInfo == (RequestInfo{}) && r.About != (RequestInfo{}):
 			// It was entered by a process that has not seen the request.
-			out[i].RequestInfo, changed = c.About, true
+			out[i].RequestInfo, changed = r.About, true
 		}
 	}
 	return out, changed
--- a/internal/coordination/quarantine/tracker_test.go
+++ b/internal/coordination/quarantine/tracker_test.go
@@ -68,15 +68,15 @@
 					t.Errorf("%s: %+v", other, v)
 				}
 			}
-			b.Evaluate(start.Add(settleTime))
+			b.Evaluate(start.Add(verdictDelay))
 			if row.blamed != "" {
-				v := b.Check(keyOf(row.blamed), start.Add(settleTime))
-				if v.Standing != Quarantined || v.After != firstQuarantine {
+				v := b.Check(keyOf(row.blamed), start.Add(verdictDelay))
+				if v.Standing != Quarantined || v.After != initialQuarantine {
 					t.Errorf("%s is not in quarantine: %+v", row.blamed, v)
 				}
 			}
 			for _, other := range row.others {
-				if v := b.Check(keyOf(other), start.Add(settleTime)); v.Standing != Clear {
+				if v := b.Check(keyOf(other), start.Add(verdictDelay)); v.Standing != Clear {
 					t.Errorf("%s: %+v", other, v)
 				}
 			}
@@ -88,25 +88,25 @@
 // the culprit is known to be at a third crash before the culprit is.
 func TestVerdictWaitsForWordOfOthers(t *testing.T) {
 	b := bookOf([]string{"culprit", "beside"}, []string{"culprit", "beside"}, []string{"beside"})
-	if v := b.Check(keyOf("beside"), start); v.Standing != Pending || v.After != heldPause {
+	if v := b.Check(keyOf("beside"), start); v.Standing != Pending || v.After != pendingRetryAfter {
 		t.Errorf("%+v", v)
 	}
-	if b.Evaluate(start.Add(settleTime - 1)); len(b.DurableRecords()) != 0 {
+	if b.Evaluate(start.Add(verdictDelay - 1)); len(b.DurableRecords()) != 0 {
 		t.Errorf("%+v", b.DurableRecords())
 	}
-	later := start.Add(settleTime - 1)
+	later := start.Add(verdictDelay - 1)
 	b.RecordCrash(keyOf("culprit"), 3, RequestInfo{}, later)
-	if b.Evaluate(later.Add(settleTime)); len(b.DurableRecords()) != 0 {
+	if b.Evaluate(later.Add(verdictDelay)); len(b.DurableRecords()) != 0 {
 		t.Errorf("%+v", b.DurableRecords())
 	}
-	later = later.Add(settleTime)
+	later = later.Add(verdictDelay)
 	b.RecordCrash(keyOf("culprit"), 4, RequestInfo{}, later)
-	b.Evaluate(later.Add(settleTime))
+	b.Evaluate(later.Add(verdictDelay))
 	found := b.DurableRecords()
 	if len(found) != 1 || found[0].Key != keyOf("culprit") {
 		t.Errorf("%+v", found)
 	}
-	if v := b.Check(keyOf("beside"), later.Add(settleTime)); v.Standing != Clear {
+	if v := b.Check(keyOf("beside"), later.Add(verdictDelay)); v.Standing != Clear {
 		t.Errorf("%+v", v)
 	}
 }
@@ -134,7 +134,7 @@
 		}, true},
 		{"another is cleared", [][]string{{"a", "b"}, {"a", "b"}, {"a", "b"}}, func(b *Tracker) {
 			b.RecordCompletion(keyOf("b"), start)
-			b.Evaluate(start.Add(settleTime))
+			b.Evaluate(start.Add(verdictDelay))
 		}, true},
 		{"a second crash", [][]string{{"a"}}, func(b *Tracker) { b.RecordCrash(keyOf("a"), 2, RequestInfo{}, start) }, false},
 		{"blame of another", [][]string{{"b"}, {"b"}}, func(b *Tracker) { b.RecordCrash(keyOf("b"), 3, RequestInfo{}, start) }, false},
@@ -156,7 +156,7 @@
 // quarantine began.
 func TestCrashesOfAQuarantinedRequest(t *testing.T) {
 	b := bookOf([]string{"culprit"}, []string{"culprit"}, []string{"culprit"})
-	b.Evaluate(start.Add(settleTime))
+	b.Evaluate(start.Add(verdictDelay))
 	for crash := uint64(4); crash < 9; crash++ {
 		b.RecordCrash(keyOf("culprit"), crash, RequestInfo{}, start)
 		b.RecordCrash(keyOf("beside"), crash, RequestInfo{}, start)
@@ -187,10 +187,10 @@
 // too, and freedom when it ends well.
 func TestQuarantineEndsWithATrial(t *testing.T) {
 	b := bookOf([]string{"a"}, []string{"a"}, []string{"a"})
-	now := start.Add(settleTime)
+	now := start.Add(verdictDelay)
 	b.Evaluate(now)
 	for level := uint32(1); level < 8; level++ {
-		want := min(maxQuarantine, firstQuarantine<<(level-1))
+		want := min(maxQuarantine, initialQuarantine<<(level-1))
 		if v := b.Check(keyOf("a"), now.Add(want-1)); v.Standing != Quarantined {
 			t.Fatalf("level %d: %+v", level, v)
 		}
@@ -215,16 +215,16 @@
 func TestExpiredCasesAreForgotten(t *testing.T) {
 	b := bookOf([]string{"a", "b"}, []string{"a"})
 	b.RecordCompletion(keyOf("b"), start)
-	b.Evaluate(start.Add(clearedLasts))
-	if len(b.cases) != 1 {
-		t.Errorf("%d cases", len(b.cases))
+	b.Evaluate(start.Add(clearedLifetime))
+	if len(b.records) != 1 {
+		t.Errorf("%d cases", len(b.records))
 	}
 	if v := b.Check(keyOf("a"), start); v.Standing != Clear {
 		t.Errorf("%+v", v)
 	}
-	b.Evaluate(start.Add(evidenceLasts))
-	if !b.IsEmpty() || len(b.crashes) != 0 || len(b.rumours) != 0 {
-		t.Errorf("%d cases, %d crashes, %d rumours", len(b.cases), len(b.crashes), len(b.rumours))
+	b.Evaluate(start.Add(evidenceLifetime))
+	if !b.IsEmpty() || len(b.crashes) != 0 || len(b.sendsLeft) != 0 {
+		t.Errorf("%d cases, %d crashes, %d rumours", len(b.records), len(b.crashes), len(b.sendsLeft))
 	}
 }
 
@@ -232,19 +232,19 @@
 // at most crashes.
 func TestBookIsBounded(t *testing.T) {
 	b := bookOf([]string{"q"}, []string{"q"}, []string{"q"})
-	b.Evaluate(start.Add(settleTime))
+	b.Evaluate(start.Add(verdictDelay))
 	b.RecordCrash(keyOf("twice"), 10, RequestInfo{}, start)
 	b.RecordCrash(keyOf("twice"), 11, RequestInfo{}, start)
-	for i := range 3 * maxCases {
+	for i := range 3 * maxRecords {
 		b.RecordCrash(keyOf(fmt.Sprint(i)), uint64(100+i%50), RequestInfo{}, start)
 	}
-	if len(b.cases) > maxCases || len(b.rumours) > maxCases || int(b.size.Load()) != len(b.cases) {
-		t.Errorf("%d cases, %d rumours, size %d", len(b.cases), len(b.rumours), b.size.Load())
+	if len(b.records) > maxRecords || len(b.sendsLeft) > maxRecords || int(b.size.Load()) != len(b.records) {
+		t.Errorf("%d cases, %d rumours, size %d", len(b.records), len(b.sendsLeft), b.size.Load())
 	}
-	if v := b.Check(keyOf("q"), start.Add(settleTime)); v.Standing != Quarantined {
+	if v := b.Check(keyOf("q"), start.Add(verdictDelay)); v.Standing != Quarantined {
 		t.Errorf("%+v", v)
 	}
-	if c := b.cases[keyOf("twice")]; c == nil {
+	if c := b.records[keyOf("twice")]; c == nil {
 		t.Error("what was at two crashes is forgotten before what was at one")
 	}
 }
@@ -277,12 +277,12 @@
 		for _, c := range twice {
 			other.Merge(c, start)
 		}
-		for key, c := range one.cases {
-			if !reflect.DeepEqual(c, other.cases[key]) {
-				t.Fatalf("%+v\n%+v", c, other.cases[key])
+		for key, c := range one.records {
+			if !reflect.DeepEqual(c, other.records[key]) {
+				t.Fatalf("%+v\n%+v", c, other.records[key])
 			}
 		}
-		if one.Digest() != other.Digest() || len(one.cases) != len(other.cases) {
+		if one.Digest() != other.Digest() || len(one.records) != len(other.records) {
 			t.Fatal("digests differ")
 		}
 		for _, b := range []*Tracker{one, other} {
@@ -303,14 +303,14 @@
 func checkIndex(t *rapid.T, b *Tracker) {
 	entries := 0
 	for incarnation, at := range b.crashes {
-		entries += len(at.present)
-		for _, key := range at.present {
-			if c := b.cases[key]; c == nil || !c.wasAt(incarnation) {
+		entries += len(at.inFlight)
+		for _, key := range at.inFlight {
+			if c := b.records[key]; c == nil || !c.hasCrash(incarnation) {
 				t.Fatalf("%s is listed at crash %d", key, incarnation)
 			}
 		}
 	}
-	for _, c := range b.cases {
+	for _, c := range b.records {
 		entries -= len(c.Crashes)
 	}
 	if entries != 0 {
@@ -322,15 +322,15 @@
 // refuse: it hears at once of all that crashed for other reasons before, and must not take that for crashes of now.
 func TestNewcomerWeighsAsTheOthers(t *testing.T) {
 	old, newcomer := bookOf([]string{"x"}, []string{"y"}, []string{"z"}), NewTracker()
-	now := start.Add(2 * background)
+	now := start.Add(2 * backgroundWindow)
 	var told []Record
-	for _, c := range old.cases {
-		told = append(told, c.copy())
+	for _, c := range old.records {
+		told = append(told, c.clone())
 	}
 	if err := newcomer.MergeWire(RecordsToWire(told, now), now); err != nil || len(newcomer.crashes) != len(old.crashes) {
 		t.Fatal(err)
 	}
-	for crash := range uint64(crashesToBlame) {
+	for crash := range uint64(minBlamedCrashes) {
 		for name, b := range map[string]*Tracker{"old": old, "new": newcomer} {
 			if v := b.Check(keyOf("a"), now); v.Standing != Clear {
 				t.Errorf("%s process after %d crashes: %+v", name, crash, v)
@@ -357,8 +357,8 @@
 	if err := b.MergeWire(told, now); err != nil {
 		t.Fatal(err)
 	}
-	for incarnation, want := range map[uint64]time.Duration{1: time.Minute, 2: evidenceLasts, 3: 0} {
-		if got := now.Sub(b.crashes[incarnation].seen); got != want {
+	for incarnation, want := range map[uint64]time.Duration{1: time.Minute, 2: evidenceLifetime, 3: 0} {
+		if got := now.Sub(b.crashes[incarnation].firstSeen); got != want {
 			t.Errorf("crash %d was %v ago, want %v", incarnation, got, want)
 		}
 	}
@@ -369,12 +369,12 @@
 	for _, row := range []struct {
 		before time.Duration
 		want   Standing
-	}{{background, Clear}, {background + time.Second, Pending}} {
+	}{{backgroundWindow, Clear}, {backgroundWindow + time.Second, Pending}} {
 		b := NewTracker()
 		for kill := range uint64(4) {
 			b.RecordCrash(keyOf(fmt.Sprint(kill)), 100+kill, RequestInfo{}, start)
 		}
-		for crash := range uint64(crashesToBlame) {
+		for crash := range uint64(minBlamedCrashes) {
 			b.RecordCrash(keyOf("a"), crash, RequestInfo{}, start.Add(row.before))
 		}
 		if v := b.Check(keyOf("a"), start.Add(row.before)); v.Standing != row.want {
@@ -407,7 +407,7 @@
 				if sum.quarantined > 0 && (killEvery == 0 || killEvery >= time.Second) {
 					t.Errorf("%d requests that only ran beside are in quarantine", sum.quarantined)
 				}
-				if withCulprit && sum.most > crashesEnough {
+				if withCulprit && sum.most > sufficientCrashes {
 					t.Errorf("the culprit crashed %d endpoints", sum.most)
 				}
 			})
