--- a/internal/coordination/quarantine/bench_test.go
+++ b/internal/coordination/quarantine/bench_test.go
@@ -7,28 +7,28 @@
 	"limpetwall/internal/state/fingerprint"
 )
 
-// fullBook holds as many suspects as a book takes, at 64 crashes.
-func fullBook() *Tracker {
-	b := NewTracker()
+// newFullTracker holds as many suspects as a book takes, at 64 crashes.
+func newFullTracker() *Tracker {
+	tracker := NewTracker()
 	for i := range maxRecords - 1 {
-		b.RecordCrash(keyOf(fmt.Sprint(i)), uint64(i%64), RequestInfo{}, start)
+		tracker.RecordCrash(keyOf(fmt.Sprint(i)), uint64(i%64), RequestInfo{}, start)
 	}
-	return b
+	return tracker
 }
 
 // BenchmarkCheck is what a request costs while the book is full.
 func BenchmarkCheck(b *testing.B) {
-	book, key := fullBook(), keyOf("other")
+	tracker, key := newFullTracker(), keyOf("other")
 	for b.Loop() {
-		book.Check(key, start)
+		tracker.Check(key, start)
 	}
 }
 
-// BenchmarkSettle is what a full book costs four times a second.
-func BenchmarkSettle(b *testing.B) {
-	book := fullBook()
+// BenchmarkEvaluate is what a full book costs four times a second.
+func BenchmarkEvaluate(b *testing.B) {
+	tracker := newFullTracker()
 	for b.Loop() {
-		book.Evaluate(start)
+		tracker.Evaluate(start)
 	}
 }
 
--- a/internal/coordination/quarantine/guard_test.go
+++ b/internal/coordination/quarantine/guard_test.go
@@ -17,14 +17,14 @@
 	"limpetwall/internal/transport/objectapi/standin"
 )
 
-// store is an object API that can be away, and can lose the answers of writes.
-type store struct {
+// unreliableStore is an object API that can be away, and can lose the answers of writes.
+type unreliableStore struct {
 	*standin.Store
-	down, loses atomic.Bool
-	calls       atomic.Int64
+	down, losesAnswers atomic.Bool
+	calls              atomic.Int64
 }
 
-func (s *store) Get(ctx context.Context, key string) (objectapi.Object, error) {
+func (s *unreliableStore) Get(ctx context.Context, key string) (objectapi.Object, error) {
 	s.calls.Add(1)
 	if s.down.Load() {
 		return objectapi.Object{}, objectapi.ErrUnavailable
@@ -32,13 +32,13 @@
 	return s.Store.Get(ctx, key)
 }
 
-func (s *store) Put(ctx context.Context, key string, value []byte, version int64) (objectapi.Object, error) {
+func (s *unreliableStore) Put(ctx context.Context, key string, value []byte, version int64) (objectapi.Object, error) {
 	s.calls.Add(1)
 	if s.down.Load() {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	o, err := s.Store.Put(ctx, key, value, version)
-	if s.loses.Load() {
+	if s.losesAnswers.Load() {
 		return objectapi.Object{}, objectapi.ErrOutcomeUnknown
 	}
 	return o, err
@@ -50,7 +50,7 @@
 	stop func()
 }
 
-func startGuard(t *testing.T, s *store) *process {
+func startGuard(t *testing.T, s *unreliableStore) *process {
 	g := NewGuard(NewTracker(), s, zap.NewNop(), metrics.NewRegistry(), time.Now)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -64,27 +64,27 @@
 	}}
 }
 
-// crash lets a request be at three crashes.
-func (p *process) crash(key fingerprint.Key) {
+// recordCrashes lets a request be at three crashes.
+func (p *process) recordCrashes(key fingerprint.Key) {
 	for incarnation := range uint64(minBlamedCrashes) {
 		about := RequestInfo{Service: "s", Customer: "club", Method: "GET", Target: "/x"}
 		p.RecordCrash(Attempt{Key: key, About: about, Sent: time.Now().Add(-time.Second)}, incarnation+1, time.Now())
 	}
 }
 
-// tell passes on what the processes know, as they do among themselves.
-func tell(all ...*process) {
+// exchange passes on what the processes know, as they do among themselves.
+func exchange(all ...*process) {
 	for _, from := range all {
-		for _, c := range from.Quarantines.DurableRecords() {
+		for _, r := range from.Quarantines.DurableRecords() {
 			for _, to := range all {
-				to.Quarantines.Merge(c, time.Now())
+				to.Quarantines.Merge(r, time.Now())
 			}
 		}
 	}
 }
 
-// code is what a request's caller is told, empty if it runs.
-func (p *process) code(t *testing.T, key fingerprint.Key) string {
+// admitCode is what a request's caller is told, empty if it runs.
+func (p *process) admitCode(t *testing.T, key fingerprint.Key) string {
 	if refused := p.Admit(t.Context(), key); refused != nil {
 		if refused.Ran != apierror.RanNo || refused.Retry.AfterMS <= 0 {
 			t.Errorf("%+v", refused)
@@ -94,25 +94,25 @@
 	return ""
 }
 
-// TestQuarantineOutlivesItsProcess guards against a request that crashes as many endpoints again once all processes that knew it have
+// TestQuarantineOutlivesProcesses guards against a request that crashes as many endpoints again once all processes that knew it have
 // been restarted: also where the store was away when it was put into quarantine.
-func TestQuarantineOutlivesItsProcess(t *testing.T) {
+func TestQuarantineOutlivesProcesses(t *testing.T) {
 	for _, down := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &store{Store: standin.New()}
+			s := &unreliableStore{Store: standin.New()}
 			s.down.Store(down)
 			first := startGuard(t, s)
-			first.crash(keyOf("a"))
+			first.recordCrashes(keyOf("a"))
 			time.Sleep(5 * time.Second)
 			s.down.Store(false)
 			time.Sleep(2 * syncRetryDelay)
 			first.stop()
 			second := startGuard(t, s)
 			time.Sleep(time.Second)
-			if got := second.code(t, keyOf("a")); got != apierror.CodeQuarantined {
+			if got := second.admitCode(t, keyOf("a")); got != apierror.CodeQuarantined {
 				t.Errorf("store down %v: %q", down, got)
 			}
-			if got := second.code(t, keyOf("b")); got != "" {
+			if got := second.admitCode(t, keyOf("b")); got != "" {
 				t.Errorf("another request: %q", got)
 			}
 			entries, err := ReadEntries(t.Context(), s)
@@ -124,11 +124,11 @@
 	}
 }
 
-// TestHeardQuarantineIsRecorded guards against a quarantine that no process writes down, as each heard of it from another before its
+// TestReceivedQuarantineIsStored guards against a quarantine that no process writes down, as each heard of it from another before its
 // own verdict stood.
-func TestHeardQuarantineIsRecorded(t *testing.T) {
+func TestReceivedQuarantineIsStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &store{Store: standin.New()}
+		s := &unreliableStore{Store: standin.New()}
 		p := startGuard(t, s)
 		p.RecordCrash(Attempt{Key: keyOf("a"), About: RequestInfo{Target: "/x"}, Sent: time.Now().Add(-time.Second)}, 1, time.Now())
 		p.Quarantines.Merge(Record{Key: keyOf("a"), Level: 1, Crashes: crashesAt(time.Now(), 1, 2, 3), Until: time.Now().Add(initialQuarantine)}, time.Now())
@@ -142,15 +142,15 @@
 	})
 }
 
-// TestOperatorLifts guards against a request that stays refused though an operator has found it harmless.
-func TestOperatorLifts(t *testing.T) {
+// TestOperatorLiftsQuarantine guards against a request that stays refused though an operator has found it harmless.
+func TestOperatorLiftsQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const inForce = 10 * time.Second
-		s := &store{Store: standin.New()}
+		s := &unreliableStore{Store: standin.New()}
 		p, other := startGuard(t, s), startGuard(t, s)
-		p.crash(keyOf("a"))
+		p.recordCrashes(keyOf("a"))
 		time.Sleep(inForce)
-		tell(p, other)
+		exchange(p, other)
 		if err := LiftEntry(t.Context(), s, keyOf("b")); !errors.Is(err, ErrNotQuarantined) {
 			t.Errorf("another request: %v", err)
 		}
@@ -158,9 +158,9 @@
 			t.Error(err)
 		}
 		time.Sleep(inForce)
-		tell(p, other)
+		exchange(p, other)
 		for _, g := range []*process{p, other} {
-			if got := g.code(t, keyOf("a")); got != "" {
+			if got := g.admitCode(t, keyOf("a")); got != "" {
 				t.Errorf("after it was lifted: %q", got)
 			}
 		}
@@ -168,14 +168,14 @@
 			t.Errorf("%+v %v", entries, err)
 		}
 		// What is lifted at a process goes the same way.
-		p.crash(keyOf("c"))
+		p.recordCrashes(keyOf("c"))
 		time.Sleep(inForce)
-		tell(p, other)
+		exchange(p, other)
 		if other.Lift(keyOf("d"), "ana") || !other.Lift(keyOf("c"), "ana") {
 			t.Error("lifted the wrong one")
 		}
-		tell(p, other)
-		if got := p.code(t, keyOf("c")); got != "" {
+		exchange(p, other)
+		if got := p.admitCode(t, keyOf("c")); got != "" {
 			t.Errorf("after it was lifted elsewhere: %q", got)
 		}
 		p.stop()
@@ -183,21 +183,21 @@
 	})
 }
 
-// TestOneTrialForAll guards against each process trying a request whose quarantine is over: together they would
+// TestOneTrialAcrossProcesses guards against each process trying a request whose quarantine is over: together they would
 // crash as many endpoints as there are processes.
-func TestOneTrialForAll(t *testing.T) {
+func TestOneTrialAcrossProcesses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &store{Store: standin.New()}
+		s := &unreliableStore{Store: standin.New()}
 		var all []*process
 		for range 5 {
 			all = append(all, startGuard(t, s))
 		}
-		all[0].crash(keyOf("a"))
+		all[0].recordCrashes(keyOf("a"))
 		time.Sleep(time.Second)
-		tell(all...)
+		exchange(all...)
 		time.Sleep(initialQuarantine + activeSyncInterval)
 		s.down.Store(true)
-		if got := all[0].code(t, keyOf("a")); got != apierror.CodeQuarantined {
+		if got := all[0].admitCode(t, keyOf("a")); got != apierror.CodeQuarantined {
 			t.Errorf("a trial without the store: %q", got)
 		}
 		s.down.Store(false)
@@ -205,7 +205,7 @@
 			var trials atomic.Int64
 			for _, p := range all {
 				go func() {
-					if p.code(t, keyOf("a")) == "" {
+					if p.admitCode(t, keyOf("a")) == "" {
 						trials.Add(1)
 					}
 				}()
@@ -218,9 +218,9 @@
 			time.Sleep(2*initialQuarantine<<round + idleSyncInterval)
 		}
 		all[2].RecordCompletion(keyOf("a"))
-		tell(all...)
+		exchange(all...)
 		for i, p := range all {
-			if got := p.code(t, keyOf("a")); got != "" {
+			if got := p.admitCode(t, keyOf("a")); got != "" {
 				t.Errorf("process %d after the trial: %q", i, got)
 			}
 			p.stop()
@@ -228,21 +228,21 @@
 	})
 }
 
-// TestLostAnswerGivesNoTrial guards against two trials where the write that takes one has an unknown outcome.
-func TestLostAnswerGivesNoTrial(t *testing.T) {
+// TestUnknownWriteOutcomeGivesNoTrial guards against two trials where the write that takes one has an unknown outcome.
+func TestUnknownWriteOutcomeGivesNoTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &store{Store: standin.New()}
+		s := &unreliableStore{Store: standin.New()}
 		p, other := startGuard(t, s), startGuard(t, s)
-		p.crash(keyOf("a"))
+		p.recordCrashes(keyOf("a"))
 		time.Sleep(time.Second)
-		tell(p, other)
+		exchange(p, other)
 		time.Sleep(initialQuarantine + activeSyncInterval)
-		s.loses.Store(true)
-		if got := p.code(t, keyOf("a")); got != apierror.CodeQuarantined {
+		s.losesAnswers.Store(true)
+		if got := p.admitCode(t, keyOf("a")); got != apierror.CodeQuarantined {
 			t.Errorf("a trial on an unknown outcome: %q", got)
 		}
-		s.loses.Store(false)
-		if got := other.code(t, keyOf("a")); got != apierror.CodeQuarantined {
+		s.losesAnswers.Store(false)
+		if got := other.admitCode(t, keyOf("a")); got != apierror.CodeQuarantined {
 			t.Errorf("a trial that another may have taken: %q", got)
 		}
 		p.stop()
@@ -250,15 +250,15 @@
 	})
 }
 
-// TestUnreadableRecord guards against bytes of another writer ending quarantines for good.
-func TestUnreadableRecord(t *testing.T) {
+// TestMalformedListIsReplaced guards against bytes of another writer ending quarantines for good.
+func TestMalformedListIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &store{Store: standin.New()}
+		s := &unreliableStore{Store: standin.New()}
 		if _, err := s.Store.Put(t.Context(), objectKey, []byte(`{"entries":[{"fingerprint":"short"}]}`), 0); err != nil {
 			t.Fatal(err)
 		}
 		p := startGuard(t, s)
-		p.crash(keyOf("a"))
+		p.recordCrashes(keyOf("a"))
 		time.Sleep(5 * time.Second)
 		if entries, err := ReadEntries(t.Context(), s); err != nil || len(entries) != 1 {
 			t.Errorf("%+v %v", entries, err)
@@ -267,10 +267,10 @@
 	})
 }
 
-// TestQuietFleetCostsTheStoreLittle guards against calls that the platform charges while no request is in quarantine.
-func TestQuietFleetCostsTheStoreLittle(t *testing.T) {
+// TestIdleFleetMakesFewStoreCalls guards against calls that the platform charges while no request is in quarantine.
+func TestIdleFleetMakesFewStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &store{Store: standin.New()}
+		s := &unreliableStore{Store: standin.New()}
 		p := startGuard(t, s)
 		time.Sleep(time.Hour)
 		if calls := s.calls.Load(); calls > 2*int64(time.Hour/idleSyncInterval) {
@@ -280,9 +280,9 @@
 	})
 }
 
-// TestWhoIsNotBlamed guards against blame for a crash that a run can't have caused: it had run well for long, or was sent to an
+// TestRecordCrashSkipsUnrelatedAttempts guards against blame for a crash that a run can't have caused: it had run well for long, or was sent to an
 // endpoint that had crashed already.
-func TestWhoIsNotBlamed(t *testing.T) {
+func TestRecordCrashSkipsUnrelatedAttempts(t *testing.T) {
 	crashed := time.Now()
 	rows := map[string]struct {
 		run    Attempt
--- a/internal/coordination/quarantinegossip/exchanger_test.go
+++ b/internal/coordination/quarantinegossip/exchanger_test.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	// wholeSize is the fleet that decides the design, inTime the time in which all of it must know.
-	wholeSize = 370
-	inTime    = 3 * time.Second
-	// mostBytes a second is what a process may send for control, headers included.
-	mostBytes = 3 << 10
-	port      = 7704
-	// settled is enough for a verdict to stand.
-	settled = time.Second
+	// largeFleet is the fleet that decides the design, inTime the time in which all of it must know.
+	largeFleet = 370
+	maxDelay   = 3 * time.Second
+	// maxRate a second is what a process may send for control, headers included.
+	maxRate = 3 << 10
+	port    = 7704
+	// verdictTime is enough for a verdict to stand.
+	verdictTime = time.Second
 )
 
 func keyOf(n int) fingerprint.Key {
@@ -39,10 +39,10 @@
 
 // fleet is a number of processes that know each other's hosts.
 type fleet struct {
-	network *datagramtest.Network
-	books   []*quarantine.Tracker
-	stop    []func()
-	hosts   []netip.Addr
+	network  *datagramtest.Network
+	trackers []*quarantine.Tracker
+	stop     []func()
+	hosts    []netip.Addr
 }
 
 func newFleet(t *testing.T, size int) *fleet {
@@ -51,14 +51,14 @@
 		f.hosts = append(f.hosts, netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}))
 	}
 	for n := range size {
-		f.books, f.stop = append(f.books, nil), append(f.stop, nil)
+		f.trackers, f.stop = append(f.trackers, nil), append(f.stop, nil)
 		f.start(t, n)
 	}
-	t.Cleanup(f.end)
+	t.Cleanup(f.stopAll)
 	return f
 }
 
-func (f *fleet) end() {
+func (f *fleet) stopAll() {
 	for n := range f.stop {
 		f.kill(n)
 	}
@@ -66,37 +66,37 @@
 
 // start gives a place its next process, which knows nothing.
 func (f *fleet) start(t *testing.T, n int) {
-	book := quarantine.NewTracker()
+	tracker := quarantine.NewTracker()
 	var others []netip.Addr
 	for i, h := range f.hosts {
 		if i != n {
 			others = append(others, h)
 		}
 	}
-	s := &Exchanger{
-		Group: &datagram.Group{Conn: f.network.Open(f.address(n)), Port: port}, Quarantines: book, Now: time.Now, Log: zap.NewNop(),
+	e := &Exchanger{
+		Group: &datagram.Group{Conn: f.network.Open(f.address(n)), Port: port}, Quarantines: tracker, Now: time.Now, Log: zap.NewNop(),
 		Hosts: func() []netip.Addr { return append([]netip.Addr(nil), others...) },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		var duties sync.WaitGroup
-		duties.Go(func() { settle(ctx, book) })
-		s.Run(ctx)
-		duties.Wait()
+		var workers sync.WaitGroup
+		workers.Go(func() { evaluate(ctx, tracker) })
+		e.Run(ctx)
+		workers.Wait()
 	}()
-	f.books[n], f.stop[n] = book, func() {
+	f.trackers[n], f.stop[n] = tracker, func() {
 		cancel()
 		<-done
 	}
 }
 
-// settle has verdicts stand in time, as the guard does: a process that has only heard of the evidence would else date a
+// evaluate has verdicts stand in time, as the guard does: a process that has only heard of the evidence would else date a
 // quarantine by the next one that the test begins there.
-func settle(ctx context.Context, book *quarantine.Tracker) {
+func evaluate(ctx context.Context, tracker *quarantine.Tracker) {
 	for pause.For(ctx, 250*time.Millisecond) {
-		book.Evaluate(time.Now())
+		tracker.Evaluate(time.Now())
 	}
 }
 
@@ -109,8 +109,8 @@
 
 func (f *fleet) address(n int) netip.AddrPort { return netip.AddrPortFrom(f.hosts[n], port) }
 
-// rate is what a process has sent a second, headers included, in the time since the last look.
-func (f *fleet) rate(passed time.Duration) float64 {
+// sendRate is what a process has sent a second, headers included, in the time since the last look.
+func (f *fleet) sendRate(passed time.Duration) float64 {
 	datagrams, bytes := f.network.Sent()
 	return float64(bytes+headerBytes*datagrams) / float64(len(f.hosts)) / passed.Seconds()
 }
@@ -119,27 +119,27 @@
 func (f *fleet) quarantine(n int, keys ...fingerprint.Key) {
 	for _, key := range keys {
 		for crash := range uint64(5) {
-			f.books[n].RecordCrash(key, binary.BigEndian.Uint64(key[:])+crash, quarantine.RequestInfo{}, time.Now())
+			f.trackers[n].RecordCrash(key, binary.BigEndian.Uint64(key[:])+crash, quarantine.RequestInfo{}, time.Now())
 		}
 	}
-	f.books[n].Evaluate(time.Now().Add(settled))
+	f.trackers[n].Evaluate(time.Now().Add(verdictTime))
 }
 
-// ignorant counts the processes that would run a request.
-func (f *fleet) ignorant(key fingerprint.Key) int {
+// countUnaware counts the processes that would run a request.
+func (f *fleet) countUnaware(key fingerprint.Key) int {
 	count := 0
-	for n, b := range f.books {
-		if f.stop[n] != nil && b.Check(key, time.Now()).Standing == quarantine.Clear {
+	for n, tracker := range f.trackers {
+		if f.stop[n] != nil && tracker.Check(key, time.Now()).Standing == quarantine.Clear {
 			count++
 		}
 	}
 	return count
 }
 
-// TestAllHearInTime guards against a request crashing further endpoints at processes that have not heard of it: three processes
+// TestAllProcessesLearnInTime guards against a request crashing further endpoints at processes that have not heard of it: three processes
 // have seen one crash each, and a third of all messages is lost.
-func TestAllHearInTime(t *testing.T) {
-	for _, size := range []int{2, 5, 40, wholeSize} {
+func TestAllProcessesLearnInTime(t *testing.T) {
+	for _, size := range []int{2, 5, 40, largeFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
@@ -148,26 +148,26 @@
 				time.Sleep(time.Minute)
 				f.network.Sent()
 				for crash := range uint64(3) {
-					f.books[int(crash)%size].RecordCrash(keyOf(1), crash, quarantine.RequestInfo{}, time.Now())
+					f.trackers[int(crash)%size].RecordCrash(keyOf(1), crash, quarantine.RequestInfo{}, time.Now())
 				}
-				time.Sleep(inTime)
-				if n := f.ignorant(keyOf(1)); n > 0 {
+				time.Sleep(maxDelay)
+				if n := f.countUnaware(keyOf(1)); n > 0 {
 					t.Errorf("%d processes would run the request", n)
 				}
-				time.Sleep(2 * inTime)
-				if rate := f.rate(3 * inTime); rate > mostBytes {
+				time.Sleep(2 * maxDelay)
+				if rate := f.sendRate(3 * maxDelay); rate > maxRate {
 					t.Errorf("%.0f bytes/s a process", rate)
 				}
-				f.end()
+				f.stopAll()
 			})
 		})
 	}
 }
 
-// TestWhoMissedTheNewsCatchesUp guards against a process that was killed, frozen or cut off while the news went round
+// TestMissedUpdatesAreCaughtUp guards against a process that was killed, frozen or cut off while the news went round
 // running the request when it is back.
-func TestWhoMissedTheNewsCatchesUp(t *testing.T) {
-	for _, size := range []int{2, 5, wholeSize} {
+func TestMissedUpdatesAreCaughtUp(t *testing.T) {
+	for _, size := range []int{2, 5, largeFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
@@ -179,94 +179,94 @@
 				time.Sleep(time.Minute)
 				f.network.Cut(f.address(size-1), false)
 				f.start(t, 1)
-				time.Sleep(inTime)
-				if n := f.ignorant(keyOf(1)); n > 0 {
+				time.Sleep(maxDelay)
+				if n := f.countUnaware(keyOf(1)); n > 0 {
 					t.Errorf("%d processes would run the request", n)
 				}
-				f.end()
+				f.stopAll()
 			})
 		})
 	}
 }
 
-// TestNewsOutliveTheirProcess guards against evidence that is lost with the process that has it, as it is killed within milliseconds
+// TestUpdatesOutliveTheirProcess guards against evidence that is lost with the process that has it, as it is killed within milliseconds
 // of the crashes that it saw.
-func TestNewsOutliveTheirProcess(t *testing.T) {
+func TestUpdatesOutliveTheirProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5)
 		time.Sleep(time.Minute)
 		for crash := range uint64(3) {
-			f.books[0].RecordCrash(keyOf(1), crash, quarantine.RequestInfo{}, time.Now())
+			f.trackers[0].RecordCrash(keyOf(1), crash, quarantine.RequestInfo{}, time.Now())
 			time.Sleep(20 * time.Millisecond)
 		}
 		f.kill(0)
-		if n := f.ignorant(keyOf(1)); n > 0 {
+		if n := f.countUnaware(keyOf(1)); n > 0 {
 			t.Errorf("%d of the other processes would run the request", n)
 		}
-		f.end()
+		f.stopAll()
 	})
 }
 
-// TestEvidenceIsToldBesideQuarantines guards against evidence that waits behind new quarantines until the process that
+// TestEvidenceIsSentBesideQuarantines guards against evidence that waits behind new quarantines until the process that
 // has it is gone.
-func TestEvidenceIsToldBesideQuarantines(t *testing.T) {
+func TestEvidenceIsSentBesideQuarantines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
 		time.Sleep(time.Minute)
 		f.quarantine(0, keyOf(101), keyOf(102), keyOf(103), keyOf(104), keyOf(105), keyOf(106))
 		for crash := range uint64(2) {
-			f.books[0].RecordCrash(keyOf(1), crash, quarantine.RequestInfo{}, time.Now())
+			f.trackers[0].RecordCrash(keyOf(1), crash, quarantine.RequestInfo{}, time.Now())
 		}
 		time.Sleep(time.Second)
 		f.kill(0)
-		f.books[2].RecordCrash(keyOf(1), 2, quarantine.RequestInfo{}, time.Now())
+		f.trackers[2].RecordCrash(keyOf(1), 2, quarantine.RequestInfo{}, time.Now())
 		time.Sleep(time.Second)
-		if n := f.ignorant(keyOf(1)); n > 0 {
+		if n := f.countUnaware(keyOf(1)); n > 0 {
 			t.Errorf("%d of the other processes would run the request", n)
 		}
-		f.end()
+		f.stopAll()
 	})
 }
 
-// TestFreshNewsDoNotWait guards against a process running a request that another saw crash its third endpoint a moment
+// TestUrgentUpdatesDoNotWait guards against a process running a request that another saw crash its third endpoint a moment
 // ago, as that one was repeating older news.
-func TestFreshNewsDoNotWait(t *testing.T) {
+func TestUrgentUpdatesDoNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5)
 		for i := range 10 {
 			culprit := keyOf(100 + i)
 			f.quarantine(0, culprit)
 			// The first of its crashes ended runs of all processes.
-			for n, b := range f.books {
+			for n, tracker := range f.trackers {
 				for run := range 4 {
-					b.RecordCrash(keyOf(1000+100*i+10*n+run), binary.BigEndian.Uint64(culprit[:]), quarantine.RequestInfo{}, time.Now())
+					tracker.RecordCrash(keyOf(1000+100*i+10*n+run), binary.BigEndian.Uint64(culprit[:]), quarantine.RequestInfo{}, time.Now())
 				}
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
 		for crash := range uint64(3) {
-			f.books[0].RecordCrash(keyOf(1), 1000+crash, quarantine.RequestInfo{}, time.Now())
+			f.trackers[0].RecordCrash(keyOf(1), 1000+crash, quarantine.RequestInfo{}, time.Now())
 			time.Sleep(10 * time.Millisecond)
 		}
-		if n := f.ignorant(keyOf(1)); n > 0 {
+		if n := f.countUnaware(keyOf(1)); n > 0 {
 			t.Errorf("%d processes would run the request", n)
 		}
-		f.end()
+		f.stopAll()
 	})
 }
 
 // TestEvidenceWaitsForPeers guards against evidence that counts as told while a process knows no other.
 func TestEvidenceWaitsForPeers(t *testing.T) {
-	s := &Exchanger{Quarantines: quarantine.NewTracker(), Now: time.Now, Log: zap.NewNop(), Hosts: func() []netip.Addr { return nil }}
-	s.Quarantines.RecordCrash(keyOf(1), 1, quarantine.RequestInfo{}, time.Now())
-	s.Quarantines.RecordCrash(keyOf(1), 2, quarantine.RequestInfo{}, time.Now())
+	e := &Exchanger{Quarantines: quarantine.NewTracker(), Now: time.Now, Log: zap.NewNop(), Hosts: func() []netip.Addr { return nil }}
+	e.Quarantines.RecordCrash(keyOf(1), 1, quarantine.RequestInfo{}, time.Now())
+	e.Quarantines.RecordCrash(keyOf(1), 2, quarantine.RequestInfo{}, time.Now())
 	for range 100 {
-		if s.tell(s.Quarantines.PopUrgentUpdates) != 0 || s.tell(s.Quarantines.PopUpdates) != 0 {
+		if e.sendUpdate(e.Quarantines.PopUrgentUpdates) != 0 || e.sendUpdate(e.Quarantines.PopUpdates) != 0 {
 			t.Fatal("told nobody")
 		}
 	}
-	if cases := s.Quarantines.PopUrgentUpdates(roundBytes, time.Now()); len(cases) != 1 {
-		t.Errorf("%d cases are left to be told", len(cases))
+	if records := e.Quarantines.PopUrgentUpdates(messageBytes, time.Now()); len(records) != 1 {
+		t.Errorf("%d cases are left to be told", len(records))
 	}
 }
 
@@ -276,22 +276,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12)
 		f.quarantine(0, keyOf(1))
-		time.Sleep(inTime)
+		time.Sleep(maxDelay)
 		f.network.Cut(f.address(11), true)
-		f.books[5].Lift(keyOf(1), time.Now())
+		f.trackers[5].Lift(keyOf(1), time.Now())
 		time.Sleep(time.Minute)
 		f.network.Cut(f.address(11), false)
-		time.Sleep(inTime)
-		if n := f.ignorant(keyOf(1)); n != 12 {
+		time.Sleep(maxDelay)
+		if n := f.countUnaware(keyOf(1)); n != 12 {
 			t.Errorf("%d of 12 processes would run the request", n)
 		}
-		f.end()
+		f.stopAll()
 	})
 }
 
-// TestManyRequestsCostNoMore guards against a customer with hundreds of such requests, or the crash of many busy endpoints, filling
+// TestTrafficIsBounded guards against a customer with hundreds of such requests, or the crash of many busy endpoints, filling
 // the network: a process's bytes are bounded, and what matters most is not delayed by the rest.
-func TestManyRequestsCostNoMore(t *testing.T) {
+func TestTrafficIsBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		const size = 16
@@ -302,83 +302,83 @@
 		}
 		f.quarantine(0, many...)
 		for i := range 3000 {
-			f.books[i%size].RecordCrash(keyOf(1000+i), uint64(1_000_000+i%10), quarantine.RequestInfo{}, time.Now())
+			f.trackers[i%size].RecordCrash(keyOf(1000+i), uint64(1_000_000+i%10), quarantine.RequestInfo{}, time.Now())
 		}
 		f.network.Sent()
-		time.Sleep(inTime)
+		time.Sleep(maxDelay)
 		f.quarantine(3, keyOf(1))
-		time.Sleep(inTime)
-		if rate := f.rate(2 * inTime); rate > 2*mostBytes {
+		time.Sleep(maxDelay)
+		if rate := f.sendRate(2 * maxDelay); rate > 2*maxRate {
 			t.Errorf("%.0f bytes/s a process", rate)
 		}
-		if n := f.ignorant(keyOf(1)); n > 0 {
+		if n := f.countUnaware(keyOf(1)); n > 0 {
 			t.Errorf("%d processes would run the newest request", n)
 		}
 		time.Sleep(time.Minute)
 		for _, key := range many {
-			if n := f.ignorant(key); n > 0 {
+			if n := f.countUnaware(key); n > 0 {
 				t.Fatalf("%d processes would run one of the many", n)
 			}
 		}
-		f.end()
+		f.stopAll()
 	})
 }
 
-// TestOldEvidenceIsNoNews guards against processes that go on talking of suspects long after a crash of many busy endpoints.
-func TestOldEvidenceIsNoNews(t *testing.T) {
+// TestOldEvidenceIsNotRepeated guards against processes that go on talking of suspects long after a crash of many busy endpoints.
+func TestOldEvidenceIsNotRepeated(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		const size = 16
 		f := newFleet(t, size)
 		for i := range 3000 {
-			f.books[i%size].RecordCrash(keyOf(i), uint64(i%10), quarantine.RequestInfo{}, time.Now())
+			f.trackers[i%size].RecordCrash(keyOf(i), uint64(i%10), quarantine.RequestInfo{}, time.Now())
 		}
 		time.Sleep(time.Minute)
 		f.network.Sent()
 		time.Sleep(time.Minute)
-		if rate := f.rate(time.Minute); rate > mostBytes/20 {
+		if rate := f.sendRate(time.Minute); rate > maxRate/20 {
 			t.Errorf("%.0f bytes/s a process a minute later", rate)
 		}
-		f.end()
+		f.stopAll()
 	})
 }
 
-// TestQuietFleetSendsLittle guards against control traffic that grows while there is nothing to tell.
-func TestQuietFleetSendsLittle(t *testing.T) {
+// TestIdleFleetSendsLittle guards against control traffic that grows while there is nothing to tell.
+func TestIdleFleetSendsLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 40)
 		f.network.Sent()
 		time.Sleep(time.Minute)
-		if rate := f.rate(time.Minute); rate > mostBytes/20 {
+		if rate := f.sendRate(time.Minute); rate > maxRate/20 {
 			t.Errorf("%.0f bytes/s a process", rate)
 		}
-		f.end()
+		f.stopAll()
 	})
 }
 
-// TestReportsThatSayNothing refuses what no process would tell, and takes in what comes beside it.
-func TestReportsThatSayNothing(t *testing.T) {
-	sound := &wire.QuarantineCase{Fingerprint: make([]byte, fingerprint.Size), Level: 1, LeftMs: 1000}
+// TestMalformedReports refuses what no process would tell, and takes in what comes beside it.
+func TestMalformedReports(t *testing.T) {
+	valid := &wire.QuarantineCase{Fingerprint: make([]byte, fingerprint.Size), Level: 1, LeftMs: 1000}
 	rows := map[string]*wire.QuarantineCase{
 		"a short fingerprint": {Fingerprint: []byte("short"), Level: 1, LeftMs: 1000},
 		"too many crashes":    {Fingerprint: make([]byte, fingerprint.Size), Crashes: make([]uint64, 100)},
 	}
-	for name, bad := range rows {
-		book := quarantine.NewTracker()
-		s := &Exchanger{Quarantines: book, Now: time.Now, Log: zap.NewNop()}
-		data, err := proto.Marshal(&wire.QuarantineReport{Step: stepLast, Cases: []*wire.QuarantineCase{bad, sound}})
+	for name, malformed := range rows {
+		tracker := quarantine.NewTracker()
+		e := &Exchanger{Quarantines: tracker, Now: time.Now, Log: zap.NewNop()}
+		data, err := proto.Marshal(&wire.QuarantineReport{Step: stepLast, Cases: []*wire.QuarantineCase{malformed, valid}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.take(data, &net.UDPAddr{})
-		s.take([]byte("\xff\xff"), &net.UDPAddr{})
-		if got := len(book.DurableRecords()); got != 1 {
+		e.receive(data, &net.UDPAddr{})
+		e.receive([]byte("\xff\xff"), &net.UDPAddr{})
+		if got := len(tracker.DurableRecords()); got != 1 {
 			t.Errorf("%s: %d quarantines", name, got)
 		}
 	}
 }
 
-func FuzzTake(f *testing.F) {
+func FuzzReceive(f *testing.F) {
 	data, err := proto.Marshal(&wire.QuarantineReport{Digests: []uint32{1}, Step: stepLast, Cases: []*wire.QuarantineCase{
 		{Fingerprint: make([]byte, fingerprint.Size), Level: 3, LeftMs: 1 << 31, Crashes: []uint64{3, 2, 2, 1}, Round: 1, Lifted: true},
 	}})
@@ -387,15 +387,15 @@
 	}
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		book := quarantine.NewTracker()
-		s := &Exchanger{Quarantines: book, Now: time.Now, Log: zap.NewNop()}
-		s.take(data, &net.TCPAddr{})
+		tracker := quarantine.NewTracker()
+		e := &Exchanger{Quarantines: tracker, Now: time.Now, Log: zap.NewNop()}
+		e.receive(data, &net.TCPAddr{})
 		now := time.Now()
-		for _, c := range book.DurableRecords() {
-			if c.Level > 0 && c.Until.After(now.Add(2*time.Hour)) {
-				t.Errorf("a quarantine until %s", c.Until)
+		for _, r := range tracker.DurableRecords() {
+			if r.Level > 0 && r.Until.After(now.Add(2*time.Hour)) {
+				t.Errorf("a quarantine until %s", r.Until)
 			}
 		}
-		book.Evaluate(now)
+		tracker.Evaluate(now)
 	})
 }
