--- a/internal/coordination/gateway/relocate.go
+++ b/internal/coordination/gateway/relocate.go
@@ -93,15 +93,15 @@
 func (x *exchange) watchRelocation(ctx context.Context, cut func(), c routing.Choice, attempt Attempt) *relocation {
 	r := &relocation{done: make(chan struct{})}
 	ctx, r.stop = context.WithCancel(ctx)
-	emptying := x.g.State.Draining(c.Member.ID)
-	if x.g.Copier == nil || emptying == nil || attempt.Weights == 0 {
+	draining := x.g.State.Draining(c.Member.ID)
+	if x.g.Copier == nil || draining == nil || attempt.Weights == 0 {
 		close(r.done)
 		return r
 	}
 	go func() {
 		defer close(r.done)
 		select {
-		case <-emptying:
+		case <-draining:
 		case <-ctx.Done():
 			return
 		}
--- a/internal/coordination/gateway/relocate_test.go
+++ b/internal/coordination/gateway/relocate_test.go
@@ -62,7 +62,7 @@
 	rows := []struct {
 		name        string
 		first, last error
-		emptyEngine func(*discovery.State)
+		drainEngine func(*discovery.State)
 		second      responder
 		events      string
 		complete    bool
@@ -114,7 +114,7 @@
 			}()
 			<-begun
 			state.SetLoading("i-1", false)
-			row.emptyEngine(state)
+			row.drainEngine(state)
 			<-done
 			events := ""
 			for _, line := range strings.Split(body, "\n") {
@@ -292,8 +292,8 @@
 	}
 }
 
-// TestEmptyingSignalsEachOrder has an endpoint carry out two orders.
-func TestEmptyingSignalsEachOrder(t *testing.T) {
+// TestDrainingSignalsEachOrder has an endpoint carry out two orders.
+func TestDrainingSignalsEachOrder(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Streaming, 1)).gateway.State
 	s.SetInstance(discovery.Instance{ID: "e", Revision: 30, Service: "s", Address: "10.0.0.1:1", Model: "m", Weights: 1})
 	isSignaled := func() bool {
