--- a/internal/coordination/contentreport/doc.go
+++ b/internal/coordination/contentreport/doc.go
@@ -1,4 +1,5 @@
-// Package contentreport tells the processes of a failure domain what stores and engines hold,
-// as those of them hear it that follow each for all. Every process needs to know it for each
-// prompt, and stores and engines answer only a dozen that ask.
+// Package contentreport exchanges reports of what stores and engines hold between the processes
+// of a failure domain. Every process needs these contents for each prompt, but stores and engines
+// accept only about a dozen waiting calls. So a few processes follow each store or engine and
+// report it to the others.
 package contentreport
--- a/internal/coordination/contentreport/exchanger.go
+++ b/internal/coordination/contentreport/exchanger.go
@@ -14,18 +14,19 @@
 	"limpetwall/internal/transport/pause"
 )
 
-// sendInterval is the time between two rounds of reports: what a store holds must be fresh
-// within a second, and one of its followers' calls waits 0.3 s of that.
+// sendInterval is the time between two rounds of reports. A store's contents are used for one
+// second after its answer, and a reporter's call to the store waits 0.3 s of that.
 const sendInterval = 200 * time.Millisecond
 
-// Tracker knows what stores and engines hold.
+// Tracker tracks what stores and engines hold.
 type Tracker interface {
-	// DrainReports takes what is to be told now.
+	// DrainReports returns the reports to send now and clears their changes.
 	DrainReports() []contextcache.Report
 	ApplyReport(contextcache.Report)
 }
 
-// Exchanger exchanges reports. Its fields are set before Run.
+// Exchanger sends this process's reports to the other processes of its failure domain and applies
+// theirs. Its fields are set before Run.
 type Exchanger struct {
 	Group *datagram.Group
 	// Hosts lists the other processes of the failure domain.
@@ -51,7 +52,7 @@
 	}
 	messages, err := encode(e.Tracker.DrainReports())
 	if err != nil {
-		e.Log.Error("content report", zap.Error(err))
+		e.Log.Error("cannot encode content reports", zap.Error(err))
 	}
 	for _, data := range messages {
 		e.Group.Send(data, hosts)
@@ -61,7 +62,7 @@
 func (e *Exchanger) receive(data []byte, from net.Addr) {
 	reports, err := decode(data)
 	if err != nil {
-		e.Log.Warn("content report does not decode", zap.Stringer("from", from), zap.Error(err))
+		e.Log.Warn("cannot decode content report", zap.Stringer("from", from), zap.Error(err))
 		return
 	}
 	for _, r := range reports {
--- a/internal/coordination/contentreport/exchanger_test.go
+++ b/internal/coordination/contentreport/exchanger_test.go
@@ -12,7 +12,8 @@
 	"limpetwall/internal/transport/datagram"
 )
 
-// fakeTracker tells one report over and over, and passes on what it hears.
+// fakeTracker returns the same reports again and again, and passes on the reports that it
+// receives.
 type fakeTracker struct {
 	reports  []contextcache.Report
 	received chan contextcache.Report
@@ -48,8 +49,8 @@
 	return c, group.Port
 }
 
-// TestReportsReachOtherProcesses lets one of two processes tell what a store holds; bytes that are no
-// report come between.
+// TestReportsReachOtherProcesses has one of two processes report a store's contents, while another
+// socket sends bytes that are no report.
 func TestReportsReachOtherProcesses(t *testing.T) {
 	report := contextcache.Report{Address: "10.0.0.1:1", Epoch: 3, AsOf: 5, Next: 2}
 	_, port := startExchanger(t, "127.0.0.51", 0, "127.0.0.52", []contextcache.Report{report})
@@ -67,6 +68,6 @@
 			t.Errorf("%+v", got)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("nothing was heard")
+		t.Error("no report was received")
 	}
 }
--- a/internal/coordination/contentreport/format.go
+++ b/internal/coordination/contentreport/format.go
@@ -12,24 +12,25 @@
 	"limpetwall/internal/transport/datagram"
 )
 
-// Bytes that the parts of a message take at most, besides their texts: two indices, tokens,
-// a number and the fields' own keys.
+// Upper bounds in bytes of the encoded size of a report without its address, of a change without
+// its ID, and of a string's header in the tables of salts and models. They cover indices, token
+// counts, numbers and field keys.
 const (
 	reportOverhead = 40
 	changeOverhead = 24
 	stringOverhead = 3
 )
 
-// errInvalidReport tells that a message does not say what a report says.
-const errInvalidReport = errors.ConstError("not a report of contents")
+// errInvalidReport is returned when a message decodes but its values make no valid report.
+const errInvalidReport = errors.ConstError("invalid content report")
 
-// message is one datagram in the making.
+// message is one datagram that is being filled, with an upper bound of its encoded size.
 type message struct {
 	wire.ContentReport
 	size int
 }
 
-// encode packs reports into as few messages as hold them. A report is divided where a
+// encode packs reports into messages of at most datagram.MaxSize bytes. A report is split where a
 // message is full.
 func encode(reports []contextcache.Report) ([][]byte, error) {
 	var out [][]byte
@@ -63,7 +64,7 @@
 	return out, flush()
 }
 
-// beginReport starts a report; false if the message has no room for it.
+// beginReport adds a report without changes; it returns false if the report does not fit.
 func (m *message) beginReport(r contextcache.Report) bool {
 	size := reportOverhead + len(r.Address)
 	if m.size+size > datagram.MaxSize {
@@ -74,7 +75,7 @@
 	return true
 }
 
-// addChange adds a change to the report that was begun last; false if there is no room for it.
+// addChange adds a change to the last report; it returns false if the change does not fit.
 func (m *message) addChange(r contextcache.Report, c contextcache.Change) bool {
 	size := changeOverhead + len(c.Segment.ID)
 	salt, model := slices.Index(m.Salts, c.Segment.Salt), slices.Index(m.Models, c.Model)
--- a/internal/coordination/contentreport/format_test.go
+++ b/internal/coordination/contentreport/format_test.go
@@ -12,7 +12,7 @@
 	"limpetwall/internal/transport/datagram"
 )
 
-// manyReports are of some stores, with more changes than one datagram holds.
+// manyReports returns reports of several stores with more changes than fit into one datagram.
 func manyReports() []contextcache.Report {
 	var out []contextcache.Report
 	for i := range 5 {
@@ -29,8 +29,8 @@
 	return append(out, contextcache.Report{Address: "10.0.0.9:8080", Epoch: 1, Next: 1})
 }
 
-// TestReportsAreSplitIntoDatagrams encodes more than a datagram holds: each fits, and together they say
-// the same, also of a store that has no change.
+// TestReportsAreSplitIntoDatagrams encodes more reports than fit into one datagram. Each message
+// fits into one, and together they hold the same reports, also that of a store without changes.
 func TestReportsAreSplitIntoDatagrams(t *testing.T) {
 	want := manyReports()
 	messages, err := encode(want)
@@ -40,7 +40,7 @@
 	joined := map[string]contextcache.Report{}
 	for _, data := range messages {
 		if len(data) > datagram.MaxSize {
-			t.Errorf("%d bytes in a datagram", len(data))
+			t.Errorf("datagram of %d bytes exceeds the maximum", len(data))
 		}
 		got, err := decode(data)
 		if err != nil {
@@ -52,16 +52,16 @@
 		}
 	}
 	if len(messages) < 5 {
-		t.Errorf("%d datagrams", len(messages))
+		t.Errorf("got %d datagrams, want at least 5", len(messages))
 	}
 	for _, r := range want {
 		if !reflect.DeepEqual(joined[r.Address], r) {
-			t.Errorf("%s: %+v, not %+v", r.Address, joined[r.Address], r)
+			t.Errorf("%s: got %+v, want %+v", r.Address, joined[r.Address], r)
 		}
 	}
 }
 
-// TestInvalidReportsAreRejected refuses what no process would tell.
+// TestInvalidReportsAreRejected decodes messages that no process would send.
 func TestInvalidReportsAreRejected(t *testing.T) {
 	validReport := func() *wire.ContentReport {
 		return &wire.ContentReport{Salts: []string{"s"}, Models: []string{"m"}, Contents: []*wire.Contents{{
@@ -69,14 +69,14 @@
 		}}}
 	}
 	rows := map[string]func(*wire.ContentReport){
-		"no address":            func(m *wire.ContentReport) { m.Contents[0].Address = "store" },
-		"a number below 0":      func(m *wire.ContentReport) { m.Contents[0].Next = -1 },
-		"a time below 0":        func(m *wire.ContentReport) { m.Contents[0].AsOfMs = -1 },
-		"a salt that is not":    func(m *wire.ContentReport) { m.Contents[0].Changes[0].Salt = 1 },
-		"a model that is not":   func(m *wire.ContentReport) { m.Contents[0].Changes[0].Model = 9 },
-		"a part without id":     func(m *wire.ContentReport) { m.Contents[0].Changes[0].Id = "" },
-		"an event before any":   func(m *wire.ContentReport) { m.Contents[0].Changes[0].BeforeNext = 6 },
-		"an event far before 0": func(m *wire.ContentReport) { m.Contents[0].Changes[0].BeforeNext = 1 << 63 },
+		"no address":                  func(m *wire.ContentReport) { m.Contents[0].Address = "store" },
+		"a negative number":           func(m *wire.ContentReport) { m.Contents[0].Next = -1 },
+		"a negative time":             func(m *wire.ContentReport) { m.Contents[0].AsOfMs = -1 },
+		"an unknown salt":             func(m *wire.ContentReport) { m.Contents[0].Changes[0].Salt = 1 },
+		"an unknown model":            func(m *wire.ContentReport) { m.Contents[0].Changes[0].Model = 9 },
+		"a segment without ID":        func(m *wire.ContentReport) { m.Contents[0].Changes[0].Id = "" },
+		"an event number below 0":     func(m *wire.ContentReport) { m.Contents[0].Changes[0].BeforeNext = 6 },
+		"an event number far below 0": func(m *wire.ContentReport) { m.Contents[0].Changes[0].BeforeNext = 1 << 63 },
 	}
 	for name, invalidate := range rows {
 		m := validReport()
@@ -86,7 +86,7 @@
 			t.Fatal(err)
 		}
 		if r, err := decode(data); err == nil {
-			t.Errorf("%s: %+v", name, r)
+			t.Errorf("%s: the report is accepted: %+v", name, r)
 		}
 	}
 	data, err := proto.Marshal(validReport())
--- a/internal/coordination/contextcache/capacity_test.go
+++ b/internal/coordination/contextcache/capacity_test.go
@@ -10,19 +10,20 @@
 	"limpetwall/internal/state/routes"
 )
 
-// TestManyProcessesSaveWithinCapacity lets 100 processes save 200 contexts of 9,000 tokens a second
+// TestManyProcessesSaveWithinCapacity has 100 processes save 200 contexts of 9,000 tokens a second
 // in four small stores with fast links and four large ones with slow links.
 //
-// Each knows of the others' saves half a second later only. If all fill the fast stores first,
-// they go on for as long after these are full: the saves are lost, and the contexts read again.
-// All are to find room, and no store is to stay empty while another fills.
+// A process learns of the others' saves only half a second later. If all processes filled the fast
+// stores first, they would continue for that long after these are full: the saves would be lost
+// and the contexts prefilled again. All saves must fit, and no store may stay empty while another
+// fills.
 func TestManyProcessesSaveWithinCapacity(t *testing.T) {
 	const (
 		processes, perSecond, tokens = 100, 200, 9000
 		length                       = 20 * time.Second
 		eventDelay                   = 500 * time.Millisecond
 		tokenBytes                   = 18_432
-		// idleEventInterval is after how many saves a store without changes is heard of.
+		// idleEventInterval is the number of saves after which a store without changes answers.
 		idleEventInterval = 20
 	)
 	c := &fakeClock{epoch}
@@ -71,11 +72,11 @@
 		c.now = c.now.Add(every)
 	}
 	if lost > 0 {
-		t.Errorf("%d of %d saves found no room", lost, int(length/every))
+		t.Errorf("%d of %d saves did not fit", lost, int(length/every))
 	}
 	for address, left := range free {
 		if memory := services[address].Store.MemoryTokens; left > memory*9/10 {
-			t.Errorf("%s has %d of %d tokens free", address, left, memory)
+			t.Errorf("%s has %d of %d tokens free, want less than nine tenths", address, left, memory)
 		}
 	}
 }
--- a/internal/coordination/contextcache/doc.go
+++ b/internal/coordination/contextcache/doc.go
@@ -1,6 +1,7 @@
-// Package contextcache decides where a prompt's context is imported from and which parts
-// are saved, from what the stores tell of themselves. An engine checks nothing of
-// what it imports: a part that is still being written, or that was freed while it
-// was read, would enter somebody's answer. So only parts that a store has reported
-// whole, in its present life, moments ago, are named as a source.
+// Package contextcache follows which segments of prompts the context stores and engines hold.
+// From that it decides where a prompt's context is imported from and which segments are saved.
+//
+// An engine does not verify what it imports: a segment that is still being written, or that is
+// freed while it is read, would end up in a caller's answer. So a store is used as a source only
+// for segments that it has recently reported as complete in its current epoch.
 package contextcache
--- a/internal/coordination/contextcache/engines.go
+++ b/internal/coordination/contextcache/engines.go
@@ -15,64 +15,66 @@
 )
 
 const (
-	// engineWait is the longest that an engine holds a call for events.
+	// engineWait is the longest time for which a call for events waits at an engine.
 	engineWait = time.Second
-	// engineFreshFor is how long an engine's last word is used. Nothing rests on it: a
-	// part that is gone costs a millisecond, and is read.
+	// engineFreshFor is how long an engine's last answer is used. Correctness doesn't depend
+	// on it: a failed import of an evicted segment costs a millisecond, and the segment is
+	// prefilled instead.
 	engineFreshFor = 3 * time.Second
-	// startSpread is the time over which a process begins to follow engines, one
-	// after the other: each tells all that it remembers at first, 4,000 events, and
-	// reading them all at once would take a starting process's whole processor for
+	// startSpread is the time over which a process starts to follow its engines, each after a
+	// random delay. An engine's first answer holds all events that it still has, 4,000 of them:
+	// reading these answers all at once would use a starting process's whole processor for
 	// most of a second while callers wait.
 	startSpread = 4 * time.Second
-	// maxFullyFollowed is the number of engines up to which all are followed, and from the
-	// oldest event that they remember. In a larger one a process follows those of its own
-	// failure domain, whom it sends most, and from now on: events of 55 engines are 1 Mbit/s,
-	// and what these remember is 13 MB, ten seconds of a small host's link of 10 Mbit/s,
-	// while what an engine keeps is replaced within seconds.
+	// maxFullyFollowed is the largest number of engines that are all followed from the oldest
+	// event they still have. In a larger fleet a process follows only the engines of its own
+	// failure domain, to which it sends most requests, and only new events: the events of
+	// 55 engines are 1 Mbit/s, and their stored events are 13 MB, which take ten seconds on a
+	// small host's link of 10 Mbit/s, while an engine's cache is replaced within seconds.
 	maxFullyFollowed = 16
-	// maxFollowed engines are followed by one process, others by each: with 100 gateways before
-	// 1,000 engines, 333 of them near, following all took 39% of a host's processor and 131 KB/s,
-	// and 64 take 21% and 56 KB/s. What the others keep is known by what this process itself
+	// maxFollowed bounds the engines that one process follows; each process follows different
+	// ones. With 100 gateways and 1,000 engines, 333 of them in the gateway's failure domain,
+	// following all 333 took 39% of a host's processor and 131 KB/s; following 64 takes 21% and
+	// 56 KB/s. What the other engines hold is estimated from the requests that this process
 	// has sent them.
 	maxFollowed = 64
-	// fromNow is beyond the number of any event: an engine answers that some are missing
-	// and tells its newest number.
+	// fromNow is larger than any event number: the engine answers that events are missing
+	// and returns its newest number.
 	fromNow = int64(1) << 50
-	// engineRetryDelay follows a failed call, farPause the refusal by an engine of another
-	// failure domain that holds as many calls as it takes. In a large fleet its own
-	// domain's processes, who send it most, are to find room.
+	// engineRetryDelay follows a failed call. remoteRetryDelay follows a refusal by an engine of
+	// another failure domain that has reached its limit of waiting calls: in a large fleet these
+	// calls are left to the processes of its own domain, which send it most requests.
 	engineRetryDelay = 4 * time.Second
 	remoteRetryDelay = time.Minute
 )
 
-// ErrTooManyCalls tells that an engine holds as many calls as it takes.
-const ErrTooManyCalls = errors.ConstError("too many calls are held")
+// ErrTooManyCalls is returned when a store or engine has reached its limit of waiting calls.
+const ErrTooManyCalls = errors.ConstError("too many waiting calls")
 
-// ResidentPrefix tells how much of a prompt's context an engine keeps.
+// ResidentPrefix is the prefix of a prompt that an engine has in its cache.
 type ResidentPrefix struct {
 	Address string
-	// Tokens and Segments from the first part on, without a gap.
+	// Tokens and Segments count from the first segment, without a gap.
 	Tokens, Segments int
 }
 
-// Engine is an engine whose memory is followed.
+// Engine describes an engine whose cache contents are followed.
 type Engine struct {
 	Domain string
-	// TokenBytes is the size of a token's context there.
+	// TokenBytes is the size of one token's context on this engine.
 	TokenBytes int
-	// LinkBytesPerSecond is the rate at which others import from it.
+	// LinkBytesPerSecond is the rate at which other engines import from it.
 	LinkBytesPerSecond int64
 }
 
-// SetEngines tells the engines whose memory is followed, by address.
+// SetEngines sets the engines whose cache contents are followed, by address.
 func (t *Tracker) SetEngines(engines map[string]Engine) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for address, e := range engines {
 		if t.engines[address] == nil {
 			t.engines[address] = newStore(routes.Store{Address: address, Domain: e.Domain, LinkBytesPerSecond: e.LinkBytesPerSecond})
-			// Engines are not listed.
+			// Engines are never listed: their contents come from events alone.
 			t.engines[address].listed = true
 			t.wake()
 		}
@@ -86,8 +88,8 @@
 	}
 }
 
-// firstEngineEvent is the number from which an engine's events are followed: where others have
-// told of it, the next one.
+// firstEngineEvent returns the event number from which an engine is followed: the next one
+// if reports of other processes have covered the events before.
 func (t *Tracker) firstEngineEvent(address string) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,7 +102,7 @@
 	return 0
 }
 
-// followedEngines lists the engines whose memory this process follows itself; k.mu is held.
+// followedEngines lists the engines that this process follows itself; t.mu is held.
 func (t *Tracker) followedEngines(now time.Time) []string {
 	var local, all []string
 	for address, e := range t.engines {
@@ -128,11 +130,11 @@
 	return local
 }
 
-// followRank orders engines differently in each process, and nearly the same when some
-// come or go.
+// followRank orders engines differently in each process. The order barely changes when
+// engines are added or removed.
 func (t *Tracker) followRank(address string) uint64 { return processRank(t.Self, address) }
 
-// residentEngines lists the engines that keep the beginning of a prompt; k.mu is held.
+// residentEngines lists the engines that hold a prefix of a prompt; t.mu is held.
 func (t *Tracker) residentEngines(salt string, segments []Segment, now time.Time) []ResidentPrefix {
 	var out []ResidentPrefix
 	for address, e := range t.engines {
@@ -147,7 +149,7 @@
 	return out
 }
 
-// enginesKnown decides Contents.Informed; k.mu is held.
+// enginesKnown computes LookupResult.EnginesKnown; t.mu is held.
 func (t *Tracker) enginesKnown(now time.Time) bool {
 	known, local, knownLocal := 0, 0, 0
 	for _, e := range t.engines {
@@ -180,8 +182,8 @@
 	return r
 }
 
-// followEngine follows an engine's events from the oldest it still has. It is
-// never listed: that would stall its work.
+// followEngine follows an engine's events from firstEngineEvent on. It never lists the
+// engine's contents, as that would stall the engine.
 func (t *Tracker) followEngine(ctx context.Context, address string) {
 	next := t.firstEngineEvent(address)
 	if !pause.For(ctx, time.Duration(rand.Int64N(int64(startSpread)))) {
@@ -198,7 +200,7 @@
 			continue
 		}
 		if ctx.Err() != nil {
-			// Others tell of it from now on.
+			// Other processes report this engine from now on.
 			return
 		}
 		p.saturated = p.saturated || errors.Is(err, ErrTooManyCalls)
@@ -208,9 +210,9 @@
 	}
 }
 
-// handleEngineFailure says how long to wait before an engine is asked again, beside its
-// pace. An engine of this domain that holds too many calls is only asked less; of
-// one that does not answer nothing is used any more.
+// handleEngineFailure returns how long to wait before the next call to an engine, in addition
+// to the pause of pollPace. An engine of this domain that refuses the call for its limit is
+// only polled less often; the contents of one that does not answer are no longer used.
 func (t *Tracker) handleEngineFailure(address string, err error) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -226,12 +228,13 @@
 	}
 	if e.known {
 		e.known = false
-		t.Log.Info("engine's memory is not known", zap.String("address", address), zap.Error(err))
+		t.Log.Info("engine does not answer; its cache contents are not used", zap.String("address", address), zap.Error(err))
 	}
 	return engineRetryDelay
 }
 
-// reportEngineStart passes on that an engine has told of another start than before.
+// reportEngineStart calls OnEngineStart if an engine's start time differs from the one it
+// gave before.
 func (t *Tracker) reportEngineStart(address string, startMS int64) {
 	t.mu.Lock()
 	e := t.engines[address]
@@ -260,7 +263,7 @@
 		e.loadListing(Listing{Epoch: events.Epoch, Next: events.Next, Complete: map[SegmentKey]SegmentInfo{}}, now)
 		events.Lost = false
 	}
-	// After a failed call the events go on where they stopped.
+	// After a failed call the events continue where they stopped.
 	e.known = true
 	e.applyEvents(events, now)
 	t.queueUnsent(address, e, events.Changes)
--- a/internal/coordination/contextcache/follow_test.go
+++ b/internal/coordination/contextcache/follow_test.go
@@ -12,9 +12,9 @@
 	"limpetwall/internal/state/routes"
 )
 
-// TestFollowStoreThroughRestart lets a store work, fall away, and come back in a new life.
+// TestFollowStoreThroughRestart has a store answer, go down, and restart in a new epoch.
 //
-// It is used while it answers, not while it is away, and again after a new list.
+// It is used while it answers, not while it is down, and again after a new list.
 func TestFollowStoreThroughRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &fakeClient{epoch: 1}
@@ -36,14 +36,14 @@
 		client.mu.Unlock()
 		time.Sleep(time.Second)
 		if stored() != 0 {
-			t.Error("used while it is away")
+			t.Error("the store is used while it is down")
 		}
 		client.mu.Lock()
 		client.down, client.epoch = false, 2
 		client.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		if stored() != 500 {
-			t.Error("not used after its return")
+			t.Error("the store is not used after its restart")
 		}
 		tracker.SetStores(nil)
 		time.Sleep(time.Second)
@@ -55,8 +55,7 @@
 	})
 }
 
-// limitedClient is a store that holds a bounded number of waiting calls and refuses
-// those beyond it.
+// limitedClient is a store with a limit of waiting calls. It refuses calls beyond that.
 type limitedClient struct {
 	fakeClient
 	mu       sync.Mutex
@@ -81,14 +80,14 @@
 	return events, err
 }
 
-// TestProcessesShareLimitedStoreCalls lets thirty processes follow a store that
-// holds twelve waiting calls.
+// TestProcessesShareLimitedStoreCalls has thirty processes follow a store that accepts twelve
+// waiting calls.
 //
-// They take turns with shorter waits. Without that, those that found no place would
-// list the store three times a second, and import nothing meanwhile.
+// They take turns with shorter waits. Without that, the refused processes would list the store
+// three times a second and import nothing in the meantime.
 //
-// Who finds a place is drawn: of 1,500 fleets the share was 0.90 in the mean and under 0.8 in three.
-// The mean of five is asked for as much.
+// Which calls are accepted is random: over 1,500 fleets the mean share was 0.90, and in three
+// fleets it was under 0.8. So the mean of five fleets is checked.
 func TestProcessesShareLimitedStoreCalls(t *testing.T) {
 	const fleets = 5
 	sum := 0.0
@@ -96,11 +95,11 @@
 		sum += usableShare(t)
 	}
 	if share := sum / fleets; share < 0.8 {
-		t.Errorf("the store is used in %.2f of the looks", share)
+		t.Errorf("the store is usable in %.2f of the checks, want at least 0.8", share)
 	}
 }
 
-// usableShare plays one fleet and returns the share of looks in which a process may use the store.
+// usableShare runs one fleet and returns the share of checks in which a process can use the store.
 func usableShare(t *testing.T) (share float64) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &limitedClient{fakeClient: fakeClient{epoch: 1}, maxCalls: 12}
@@ -134,7 +133,7 @@
 		cancel()
 		done.Wait()
 		share = float64(usable) / (checks * processes)
-		t.Logf("used in %.2f of the looks, %d lists, %d calls refused", share, client.lists, client.refused)
+		t.Logf("usable in %.2f of the checks, %d lists, %d calls refused", share, client.lists, client.refused)
 		if client.lists > 0 {
 			t.Errorf("%d lists in 10 s", client.lists)
 		}
--- a/internal/coordination/contextcache/plan.go
+++ b/internal/coordination/contextcache/plan.go
@@ -9,30 +9,30 @@
 	"limpetwall/internal/coordination/routing"
 )
 
-// Segment is one part of a prompt.
+// Segment is one segment of a prompt.
 type Segment struct {
 	ID     string
 	Tokens int
 }
 
 const (
-	// maxImportTime is the longest that an import may take; one that is not complete in its
-	// time is thrown away by the engine, which reads the prompt. A store's parts are freed
-	// only later than that.
+	// maxImportTime is the longest time that an import may take. The engine discards one that
+	// is not complete by then and prefills the prompt. Stores free segments only after a longer
+	// time than this.
 	maxImportTime = 1500 * time.Millisecond
-	// maxImportShare of a prompt's objective goes to an import at most; the rest is for
-	// waiting and reading, which may be needed after all.
+	// maxImportShare is the largest share of a prompt's objective that an import may take; the
+	// rest is left for queueing and for the prefill that a failed import makes necessary.
 	maxImportShare = 0.5
 )
 
-// importTimeout is how long after it was sent a prompt's import may end, given the time
-// within which its first token is on time (0 if none is asked for).
+// importTimeout returns how long after the prompt is sent its import may end. objective is the
+// time within which the first token is on time, 0 if none is set.
 //
-// A link may turn slow, or be asked for more than it carries. With one store's link at a
-// quarter of its rate for 5 s, imports that were waited for up to 1.5 s made a fifth to two
-// fifths of all answers late. With half of objectives of 500 and 600 ms 0.02 more of all
-// requests were served on days with such a link; with 150 ms twice as many tokens were
-// read again, and with 400 ms a little more came late.
+// A link may become slow or overloaded. With one store's link at a quarter of its rate for 5 s
+// and a timeout of 1.5 s, a fifth to two fifths of all answers were late. With half of the
+// objective, for objectives of 500 and 600 ms, 0.02 more of all requests were served on days
+// with such a link; with 150 ms twice as many tokens were prefilled again, and with 400 ms
+// slightly more answers were late.
 func importTimeout(objective time.Duration) time.Duration {
 	if objective <= 0 {
 		return maxImportTime
@@ -42,14 +42,14 @@
 
 // LookupResult is what stores and engines hold of a prompt.
 type LookupResult struct {
-	// Segments tells of each part whether it can be brought to an engine, and from where
-	// Plan would bring it.
+	// Segments describes for each segment whether an engine can import it, and from which source
+	// Plan would take it.
 	Segments []routing.Segment
-	// Resident lists the engines that keep the beginning.
+	// Resident lists the engines that hold a prefix of the prompt.
 	Resident []ResidentPrefix
-	// EnginesKnown tells whether the memory of most engines of this failure domain is known, so
-	// that what none of them is said to keep is taken to be kept by none. Where the domain
-	// has no engine, all count.
+	// EnginesKnown is set if the cache contents of at least half of this failure domain's
+	// engines are known: a segment that none of them is known to hold is then treated as held
+	// by none. If the domain has no engine, the engines of all domains count.
 	EnginesKnown bool
 }
 
@@ -63,7 +63,7 @@
 	return result
 }
 
-// segmentSources needs k.mu.
+// segmentSources computes LookupResult.Segments; t.mu is held.
 func (t *Tracker) segmentSources(salt string, segments []Segment, resident []ResidentPrefix, now time.Time) []routing.Segment {
 	out := make([]routing.Segment, 0, len(segments))
 	_, engine := splitByTarget(resident, "")
@@ -83,26 +83,28 @@
 	return out
 }
 
-// Plan says for each part of a prompt where it comes from and goes to.
+// Plan holds, for each segment of a prompt, where to import it from and where to save it.
 type Plan struct {
-	// ImportFrom and SaveTo hold an address for each part, "" for none.
+	// ImportFrom and SaveTo hold an address for each segment, "" for none.
 	ImportFrom, SaveTo []string
-	// StoredTokens tokens, from the first part on, are held by stores.
+	// StoredTokens is the length of the prompt's prefix that stores hold.
 	StoredTokens int
-	// ImportDeadline is the end of imports by the endpoints' clock, 0 if it is not known.
+	// ImportDeadline is when imports must end, on the endpoints' clock in Unix ms; 0 if that
+	// clock is not known.
 	ImportDeadline int64
 }
 
-// Plan decides where a prompt's parts are imported from and where they are saved.
+// Plan decides where a prompt's segments are imported from and where they are saved.
 // target is the address of the engine that the prompt is sent to, objective the time within
-// which its first token is on time, 0 if none is asked for. Another engine is a
-// source before a store is: its link is faster and less asked for.
+// which its first token is on time, 0 if none is set. Another engine is preferred to a store
+// as a source: its link is faster and less loaded.
 //
-// Parts that the target is said to keep have a source too. It uses none for what it
-// still keeps; but a crowded engine replaces its memory within a second or two, faster
-// than its events come, and a first part that is gone makes it read all behind, imports
-// included. With 12 engines whose running requests fill most of 52,000 tokens, shared
-// tokens read again fell from 3.1 to 0.4 million of 8.8 on the heaviest day.
+// Segments that the target is known to hold get a source too. The target does not import what
+// it still holds; but a busy engine replaces its cache within a second or two, before its
+// events arrive, and if it has evicted the first segment it must prefill all that follow, even
+// imported ones. With 12 engines whose running requests fill most of 52,000 tokens, these
+// sources reduced the shared tokens that were prefilled again from 3.1 to 0.4 million of 8.8 on
+// the heaviest day.
 func (t *Tracker) Plan(salt, context string, segments []Segment, target string, objective time.Duration) Plan {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,8 +135,8 @@
 	return p
 }
 
-// splitByTarget tells how many of a prompt's first parts the target keeps, and which other
-// engine keeps most.
+// splitByTarget returns how many of a prompt's first segments the target holds, and which
+// other engine holds most.
 func splitByTarget(resident []ResidentPrefix, target string) (own int, other ResidentPrefix) {
 	for _, r := range resident {
 		switch {
@@ -147,7 +149,8 @@
 	return own, other
 }
 
-// findStore finds a store that holds a part, one of this failure domain first.
+// findStore returns a store that holds a segment, preferably one of this failure domain, and ""
+// if there is none.
 func (t *Tracker) findStore(key SegmentKey, tokens int, now time.Time) string {
 	best := ""
 	for address, s := range t.stores {
@@ -161,9 +164,9 @@
 	return best
 }
 
-// chooseSaveStore picks the store that a part is saved in, "" for none: all processes choose the
-// same, by a hash of the context, in proportion to the stores' links. A full one is
-// followed by the next in its order.
+// chooseSaveStore returns the store to save a segment in, "" for none. It ranks the stores by a
+// hash of the context, weighted by saveWeight, so that all processes choose the same one. A full
+// store is skipped for the next in rank.
 func (t *Tracker) chooseSaveStore(key SegmentKey, context string, tokens int, now time.Time) string {
 	best, bestScore := "", 0.0
 	for address, s := range t.stores {
@@ -181,7 +184,8 @@
 	return best
 }
 
-// rendezvousScore ranks a store for a context by weighted highest random weight.
+// rendezvousScore ranks a store for a context by weighted rendezvous hashing (highest random
+// weight).
 func rendezvousScore(address, context string, weight float64) float64 {
 	const unit = 1.0 / (1 << 53)
 	u := (float64(xxhash.Sum64String(address+"\x00"+context)>>11) + 0.5) * unit
--- a/internal/coordination/contextcache/polling.go
+++ b/internal/coordination/contextcache/polling.go
@@ -8,29 +8,31 @@
 )
 
 const (
-	// saturatedWait and crowdedPause are used towards a store or engine that has refused
-	// a call for holding too many: with them it serves about twice as many processes
-	// as it holds calls. A call that waits less would cost as much as a report; the
-	// longest round, with its pause and a half, stays below freshFor.
+	// saturatedWait and saturatedPause apply to a store or engine that has refused a call for
+	// its limit of waiting calls: with them it serves about twice as many processes as that
+	// limit. A shorter wait would make the call as expensive as a report. The longest cycle,
+	// with 1.5 times the mean pause, stays below storeFreshFor.
 	saturatedWait  = 200 * time.Millisecond
 	saturatedPause = 400 * time.Millisecond
-	// periodicPause, after every usualRounds calls, lets a process in that found no place:
-	// it is how those that have one learn that they are too many. Between the other
-	// calls there is none, since events that come later make decisions worse.
+	// periodicPause follows every callsPerPause calls and lets a process in whose calls were
+	// refused. The others are then refused in turn and learn that the limit is reached.
+	// The other calls follow each other without a pause, since later events make decisions
+	// worse.
 	periodicPause = 100 * time.Millisecond
 	callsPerPause = 4
 )
 
-// pollPace is how one store or engine is asked for events.
+// pollPace sets the wait and the pauses of the calls for one store's or engine's events.
 type pollPace struct {
-	maxWait   time.Duration
+	maxWait time.Duration
+	// saturated is set once a call was refused for the limit of waiting calls.
 	saturated bool
-	// reporting tells that other processes are told what is heard.
+	// reporting is set if this process reports the answers to other processes.
 	reporting bool
 	calls     int
 }
 
-// callWait is how long the next call waits for events.
+// callWait returns how long the next call waits for events.
 func (p *pollPace) callWait() time.Duration {
 	switch {
 	case p.saturated:
@@ -41,8 +43,8 @@
 	return p.maxWait
 }
 
-// pauseBeforeCall leaves room for others between two calls, out of step with them; false means
-// that ctx has ended.
+// pauseBeforeCall pauses before a call so that other processes get theirs in, with jitter to
+// stay out of step with them. It returns false if ctx has ended.
 func (p *pollPace) pauseBeforeCall(ctx context.Context) bool {
 	p.calls++
 	mean := periodicPause
--- a/internal/coordination/contextcache/reports.go
+++ b/internal/coordination/contextcache/reports.go
@@ -10,54 +10,56 @@
 )
 
 const (
-	// reporters is how many processes of a failure domain follow a store or engine for all of
-	// them: if one dies or is frozen, the other is heard. Stores and engines hold about a
-	// dozen calls for events. With a hundred gateways in five domains each follower of its own
-	// was refused most of its calls, and a gateway knew two of three engines and not all
-	// stores at a time.
+	// reporters is how many processes of a failure domain follow a store or engine and report it
+	// to the others: if one dies or freezes, the other still reports. Stores and engines accept
+	// about a dozen waiting calls for events. When each of a hundred gateways in five domains
+	// followed all by itself, most of the calls were refused, and a gateway knew two of three
+	// engines and not all stores at any time.
 	reporters = 2
-	// storeReportTimeout and engineUntold are how long a process waits for a teller's word before it
-	// follows by itself: three of the tellers' messages may be lost, and a store stays usable
-	// for nearly all of the time (freshFor).
+	// storeReportTimeout and engineReportTimeout are how long a process waits for a report
+	// before it follows a store or engine itself: three messages of a reporter may be lost, and
+	// a store stays usable for nearly all of that time (storeFreshFor).
 	storeReportTimeout  = 700 * time.Millisecond
 	engineReportTimeout = 1500 * time.Millisecond
-	// minSelfFollow is how long it then does so at least.
+	// minSelfFollow is the least time for which it then does so.
 	minSelfFollow = 3 * time.Second
-	// reporterWait is the longest that a teller's call for a store's events waits: its answer
-	// is told on, and must still be fresh then.
+	// reporterWait is the longest that a reporter's call for events waits: the answer is
+	// reported to others and must still be fresh when it reaches them.
 	reporterWait = 300 * time.Millisecond
-	// maxUnsentChanges bounds the changes kept for telling, of one store or engine: some seconds of
-	// the busiest. Older ones are dropped, as datagrams that are lost.
+	// maxUnsentChanges bounds the queued changes of one store or engine: some seconds of the
+	// busiest one's changes. Older ones are dropped, with the effect of a lost datagram.
 	maxUnsentChanges = 512
 )
 
-// Report is what one process tells others of a store or engine that it follows.
+// Report is what a process sends to others about a store or engine that it follows.
 type Report struct {
 	Address string
 	Epoch   int64
-	// AsOf is when the store last answered, on the endpoints' clock in Unix ms; 0 tells that
-	// it does not answer the sender.
+	// AsOf is when the store last answered, on the endpoints' clock in Unix ms; 0 if it does
+	// not answer the sender.
 	AsOf int64
-	// Next is the number after the last event known.
+	// Next is the number after the last known event.
 	Next    int64
 	Changes []Change
 }
 
-// reportState is what a store is told of, and told on.
+// reportState is the state of reports from and to other processes about one store or engine.
 type reportState struct {
-	// reportedAt is when another process last told of it.
+	// reportedAt is when the last report of another process arrived.
 	reportedAt time.Time
-	// selfFollowUntil is until when this process follows it although others should.
+	// selfFollowUntil is the end of the time in which this process follows the store itself
+	// although others should.
 	selfFollowUntil time.Time
-	// listed tells that what it held before this process's start is known: by a list, or
-	// since it has started anew meanwhile.
+	// listed is set once a list has given the store's contents from before this process's start.
+	// Reports and events hold only the changes since then. Engines are never listed; for them it
+	// is always set.
 	listed bool
-	// unsent changes are to be told to others.
+	// unsent changes are still to be reported to others.
 	unsent []Change
 }
 
-// DrainReports takes what is to be told now of the stores and engines that this process follows
-// for its failure domain.
+// DrainReports returns the reports of the stores and engines that this process follows for its
+// failure domain, and removes their changes from the queue.
 func (t *Tracker) DrainReports() []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,8 +88,9 @@
 	return out
 }
 
-// ApplyReport takes in what another process tells. Of two that tell of one store the later
-// word counts: what was said of its life before it started anew comes too late.
+// ApplyReport applies a report of another process. If two processes report different epochs of
+// one store, the later report counts, so a delayed report of the epoch before a restart is
+// ignored.
 func (t *Tracker) ApplyReport(r Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,7 +115,7 @@
 		if !asOf.After(s.lastAnswer) {
 			return
 		}
-		t.Log.Info("context is told of a new start", zap.String("address", r.Address), zap.Int64("epoch", r.Epoch), zap.Int64("before", s.epoch))
+		t.Log.Info("report shows a new epoch of a store or engine", zap.String("address", r.Address), zap.Int64("epoch", r.Epoch), zap.Int64("before", s.epoch))
 		s.loadListing(Listing{Epoch: r.Epoch, Complete: map[SegmentKey]SegmentInfo{}}, asOf)
 	}
 	s.applyReport(r, asOf)
@@ -132,7 +135,8 @@
 	}
 }
 
-// queueUnsent keeps changes for the others if this process tells of the store; k.mu is held.
+// queueUnsent queues changes for the other processes if this process reports the store;
+// t.mu is held.
 func (t *Tracker) queueUnsent(address string, s *store, changes []Change) {
 	if !t.reporting[address] {
 		s.unsent = nil
@@ -142,8 +146,8 @@
 	s.unsent = s.unsent[max(0, len(s.unsent)-maxUnsentChanges):]
 }
 
-// shouldFollow decides whether this process shouldFollow a store or engine, and notes whether it tells
-// others of it; k.mu is held.
+// shouldFollow reports whether this process is to follow a store or engine itself, and records
+// in t.reporting whether it does so for its domain; t.mu is held.
 func (t *Tracker) shouldFollow(address string, s *store, timeout time.Duration, now time.Time) bool {
 	if len(t.peers) < reporters {
 		return true
@@ -158,7 +162,8 @@
 	return now.Before(s.selfFollowUntil) || !s.listed
 }
 
-// updatePeers takes in who the others of the domain are; k.mu is held.
+// updatePeers reads the domain's other processes from Peers and resets t.reporting; t.mu is
+// held.
 func (t *Tracker) updatePeers() {
 	if t.Peers == nil {
 		return
@@ -171,8 +176,9 @@
 	t.reporting = map[string]bool{}
 }
 
-// isReporter ranks this process among the others of its domain for an address: all come to the
-// same, and one that comes or goes changes little.
+// isReporter reports whether this process is one of the reporters of an address, by a hash that
+// ranks the domain's processes: all compute the same ranks, and a process that joins or leaves
+// changes few of the reporters.
 func (t *Tracker) isReporter(address string) bool {
 	if reporter, known := t.reporterCache[address]; known {
 		return reporter
@@ -191,15 +197,16 @@
 	return xxhash.Sum64String(process + "\x00" + address)
 }
 
-// clockWindow is how long the best of the endpoints' clock's readings stands: long enough to
-// hold one that came at once, short enough for clocks that drift.
+// clockWindow is the time over which the best reading of the endpoints' clock is taken: long
+// enough to include a reading that arrived without delay, short enough for clocks that drift.
 const clockWindow = 10 * time.Second
 
-// endpointClock estimates how far the endpoints' clock is ahead of this process's. An answer
-// that was long on its way, or read by a process that had been suspended, makes it look less
-// far ahead: the largest reading is the best.
+// endpointClock estimates how far the endpoints' clock is ahead of this process's clock. A
+// delayed answer, or one read by a process that had been suspended, makes it look less far
+// ahead, so the largest reading is the best.
 type endpointClock struct {
-	// best reading of the present window and of the one previous, which ended at began.
+	// best is the largest reading of the current window, which began at windowStart; previous
+	// is that of the window before.
 	best, previous int64
 	windowStart    time.Time
 }
@@ -216,7 +223,7 @@
 	}
 }
 
-// offset in ms; false if no reading is recent.
+// offset returns the estimate in ms, and false if no reading is recent.
 func (c *endpointClock) offset(now time.Time) (int64, bool) {
 	return max(c.best, c.previous), !c.windowStart.IsZero() && now.Sub(c.windowStart) <= 3*clockWindow
 }
--- a/internal/coordination/contextcache/reports_test.go
+++ b/internal/coordination/contextcache/reports_test.go
@@ -15,19 +15,19 @@
 	"limpetwall/internal/transport/pause"
 )
 
-// testDomain is a failure domain whose processes tell each other what they follow.
+// testDomain is a failure domain whose processes report to each other what they follow.
 type testDomain struct {
 	trackers []*Tracker
 	mu       sync.Mutex
-	// disconnected processes hear and tell nothing.
+	// disconnected processes neither send nor receive reports.
 	disconnected map[int]bool
-	// stop ends each process.
+	// stop holds the functions that stop each process.
 	stop []context.CancelFunc
 }
 
 const domainSize = 10
 
-// newTestDomain starts processes over a feed; all know each other.
+// newTestDomain starts processes that follow stores through one client; all are peers.
 func newTestDomain(t *testing.T, client Client, stores map[string]*routes.Service) *testDomain {
 	d := &testDomain{disconnected: map[int]bool{}}
 	var done sync.WaitGroup
@@ -82,7 +82,7 @@
 	}
 }
 
-// kill stops a process as a kill does.
+// kill stops a process and its reports.
 func (d *testDomain) kill(i int) {
 	d.stop[i]()
 	d.mu.Lock()
@@ -90,7 +90,7 @@
 	d.disconnected[i] = true
 }
 
-// countUsable counts the processes that may import from a store.
+// countUsable counts the processes that can import from a store.
 func (d *testDomain) countUsable(address string) int {
 	n := 0
 	for i, tracker := range d.trackers {
@@ -106,7 +106,7 @@
 	return n
 }
 
-// followersOf lists the processes that follow a store themselves.
+// followersOf lists the processes that follow a store themselves instead of by reports.
 func (d *testDomain) followersOf(address string) []int {
 	var out []int
 	for i, tracker := range d.trackers {
@@ -120,7 +120,7 @@
 	return out
 }
 
-// clockedClient is a store that tells the time.
+// clockedClient is a store whose answers give the time.
 type clockedClient struct{ fakeClient }
 
 func (f *clockedClient) Events(ctx context.Context, address string, since int64, wait time.Duration) (Events, error) {
@@ -133,12 +133,12 @@
 	return map[string]*routes.Service{"s": {Store: &routes.Store{Address: localStore, Domain: "a", MemoryTokens: 1000}}}
 }
 
-// TestTwoProcessesFollowForDomain lets ten processes share the following of a store, and kills the two
-// that follow it.
+// TestTwoProcessesFollowForDomain has ten processes share the work of following a store, and kills
+// the two that follow it.
 //
-// All know what it holds all the time. With one follower gone the other is heard; with both
-// gone, each of the rest follows by itself after less than a second: callers' prompts are read
-// instead of imported meanwhile.
+// All know the store's contents all the time. With one follower dead the other still reports. With
+// both dead, each of the others follows the store itself after less than a second; until then
+// callers' prompts are prefilled instead of imported.
 func TestTwoProcessesFollowForDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		domain := newTestDomain(t, &clockedClient{fakeClient{epoch: 1}}, oneStore())
@@ -149,29 +149,29 @@
 		}
 		for range 100 {
 			if got := domain.countUsable(localStore); got != domainSize {
-				t.Fatalf("%d of %d processes may use the store", got, domainSize)
+				t.Fatalf("%d of %d processes can use the store", got, domainSize)
 			}
 			time.Sleep(70 * time.Millisecond)
 		}
 		domain.kill(following[0])
 		for range 50 {
 			if got := domain.countUsable(localStore); got != domainSize-1 {
-				t.Fatalf("%d of %d processes may use the store with one follower gone", got, domainSize-1)
+				t.Fatalf("%d of %d processes can use the store with one follower dead", got, domainSize-1)
 			}
 			time.Sleep(70 * time.Millisecond)
 		}
 		domain.kill(following[1])
 		time.Sleep(1500 * time.Millisecond)
 		if got := domain.countUsable(localStore); got != domainSize-2 {
-			t.Errorf("%d of %d processes may use the store with both followers gone", got, domainSize-2)
+			t.Errorf("%d of %d processes can use the store with both followers dead", got, domainSize-2)
 		}
 	})
 }
 
-// TestUnreachableStoreIsPolledByTwo takes a store away for ten seconds.
+// TestUnreachableStoreIsPolledByTwo takes a store down for ten seconds.
 //
-// Those that follow it say that it does not answer. Without that, each process would take itself
-// for forgotten and press a store that is just starting; and none may import from it.
+// Its followers report that it does not answer. Without that, each process would miss the reports,
+// follow the store itself and overload it while it starts. No process may import from it.
 func TestUnreachableStoreIsPolledByTwo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := &clockedClient{fakeClient{epoch: 1}}
@@ -182,22 +182,22 @@
 		client.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		if got := len(domain.followersOf(localStore)); got != 2 {
-			t.Errorf("%d processes ask the store", got)
+			t.Errorf("%d processes poll the store, want 2", got)
 		}
 		if got := domain.countUsable(localStore); got != 0 {
-			t.Errorf("%d processes use the store", got)
+			t.Errorf("%d processes can use the store, want 0", got)
 		}
 		client.mu.Lock()
 		client.down, client.epoch = false, 2
 		client.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		if got := len(domain.followersOf(localStore)); got != 2 {
-			t.Errorf("%d processes follow the store after its return", got)
+			t.Errorf("%d processes follow the store after its restart, want 2", got)
 		}
 	})
 }
 
-// newListedTracker is a process that is told of a store which it listed 10 s ago.
+// newListedTracker returns a tracker that listed its stores 10 s ago and can apply reports.
 func newListedTracker(t *testing.T) (*Tracker, *fakeClock) {
 	tracker, c := newTracker(t)
 	c.now = c.now.Add(10 * time.Second)
@@ -205,50 +205,50 @@
 	return tracker, c
 }
 
-// endpointMS is a time as the endpoints of keeper have it.
+// endpointMS returns a time on the clock of newListedTracker's endpoints.
 func endpointMS(at time.Time) int64 { return at.UnixMilli() + 5000 }
 
-// TestReportOfEarlierEpochIsIgnored restarts a store; of its two followers one hears of it
+// TestReportOfEarlierEpochIsIgnored restarts a store; one of its two followers sees the restart
 // first.
 //
-// What the other still says of the start before must not bring back parts that are gone: another
-// process may be saving one of them again, and half of it would enter an answer.
+// A late report of the other follower about the epoch before must not restore segments that are
+// lost: another process may be saving one of them again, and half of it would end up in an answer.
 func TestReportOfEarlierEpochIsIgnored(t *testing.T) {
 	tracker, c := newListedTracker(t)
 	before := Report{Address: localStore, Epoch: 7, AsOf: endpointMS(c.now), Next: 3, Changes: []Change{added("s", "p1", 500)}}
 	tracker.ApplyReport(before)
 	if tracker.storedTokens("s", testSegments) != 500 {
-		t.Fatal("what is told is not used")
+		t.Fatal("the report is not used")
 	}
 	c.now = c.now.Add(100 * time.Millisecond)
 	tracker.ApplyReport(Report{Address: localStore, Epoch: 8, AsOf: endpointMS(c.now), Next: 0})
 	if tracker.storedTokens("s", testSegments) != 0 {
-		t.Error("parts of the start before are used")
+		t.Error("segments of the epoch before the restart are used")
 	}
 	tracker.ApplyReport(before)
 	if tracker.storedTokens("s", testSegments) != 0 || tracker.stores[localStore].epoch != 8 {
-		t.Error("a late word brings the start before back")
+		t.Error("a late report restores the epoch before the restart")
 	}
 }
 
-// TestDelayedReportIsNotFresh freezes this process for three seconds with a word underway.
+// TestDelayedReportIsNotFresh freezes this process for three seconds while a report is on the way.
 //
-// It reads the word after that. The store may have restarted meanwhile: what counts is when it
-// spoke, not when the word was read.
+// It reads the report after that. The store may have restarted meanwhile, so the time of the
+// store's answer counts, not the time when the report was read.
 func TestDelayedReportIsNotFresh(t *testing.T) {
 	tracker, c := newListedTracker(t)
 	report := Report{Address: localStore, Epoch: 7, AsOf: endpointMS(c.now), Next: 3, Changes: []Change{added("s", "p1", 500)}}
 	c.now = c.now.Add(3 * time.Second)
-	// So does an answer of an endpoint, which makes its clock look behind.
+	// An endpoint's answer is read just as late, which makes its clock look slow.
 	tracker.observeClock(endpointMS(c.now)-3000, c.now)
 	tracker.ApplyReport(report)
 	if tracker.storedTokens("s", testSegments) != 0 {
-		t.Error("a word of three seconds ago is taken for fresh")
+		t.Error("a report from three seconds ago counts as fresh")
 	}
 }
 
-// TestDuplicateChangesAreIgnored has two followers tell the same changes in parts that overlap, the
-// second behind the first.
+// TestDuplicateChangesAreIgnored has two followers report overlapping ranges of the same changes;
+// the second report ends earlier than the first.
 func TestDuplicateChangesAreIgnored(t *testing.T) {
 	tracker, c := newListedTracker(t)
 	plus, minus := added("s", "p1", 500), Change{Segment: SegmentKey{"s", "p1"}}
@@ -256,13 +256,14 @@
 	tracker.ApplyReport(Report{Address: localStore, Epoch: 7, AsOf: endpointMS(c.now), Next: 5, Changes: []Change{plus, minus}})
 	tracker.ApplyReport(Report{Address: localStore, Epoch: 7, AsOf: endpointMS(c.now), Next: 4, Changes: []Change{plus}})
 	if tracker.storedTokens("s", testSegments) != 0 {
-		t.Error("a part that is gone is brought back by the later word of an earlier change")
+		t.Error("a freed segment is restored by a later report of an earlier change")
 	}
 }
 
-// TestNewProcessListsStoreFirst starts a process beside others.
+// TestNewProcessListsStoreFirst starts a process in a domain with other processes.
 //
-// What the store held before is in no later word: it lists it once itself.
+// Reports only hold changes, not what the store held before them, so the process lists the store
+// once itself.
 func TestNewProcessListsStoreFirst(t *testing.T) {
 	c := &fakeClock{epoch}
 	tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
@@ -271,9 +272,9 @@
 	tracker.endpointClock.observe(endpointMS(c.now), c.now)
 	tracker.ApplyReport(Report{Address: localStore, Epoch: 7, AsOf: endpointMS(c.now), Next: 3})
 	if tracker.followers()[localStore] == nil {
-		t.Error("not listed")
+		t.Error("the store is not followed")
 	}
 	if tracker.markUnreachable(localStore, errors.New("reset")); tracker.storedTokens("s", testSegments) != 0 {
-		t.Error("used before it is listed")
+		t.Error("the store is used before it is listed")
 	}
 }
--- a/internal/coordination/contextcache/store.go
+++ b/internal/coordination/contextcache/store.go
@@ -10,79 +10,81 @@
 	"limpetwall/internal/state/routes"
 )
 
-// SegmentKey names a part within a store: contexts under different salts share nothing.
+// SegmentKey identifies a segment in a store. Contexts under different salts share nothing.
 type SegmentKey struct {
 	Salt, ID string
 }
 
-// SegmentInfo is what a store says of a whole part.
+// SegmentInfo describes a complete segment in a store.
 type SegmentInfo struct {
-	// Tokens stored now.
+	// Tokens is the number of tokens stored now.
 	Tokens int
-	// Model that made it.
+	// Model is the model that computed the segment.
 	Model string
 }
 
 // Change is one event of a store.
 type Change struct {
-	// Number of the event.
+	// Number is the event's number.
 	Number  int64
 	Added   bool
 	Segment SegmentKey
 	SegmentInfo
 }
 
-// Listing is all that a store holds.
+// Listing is the contents of a store.
 type Listing struct {
-	// Epoch changes when the store restarts, empty.
+	// Epoch changes when the store restarts; it is empty then.
 	Epoch int64
-	// Next is where to go on with events.
+	// Next is the event number from which to continue.
 	Next     int64
 	Complete map[SegmentKey]SegmentInfo
-	// Partial parts are being written, or broke off; they keep the space they reserved.
+	// Partial holds the reserved tokens of segments whose write is in progress or was aborted;
+	// both keep the memory that they reserved.
 	Partial map[SegmentKey]int
 }
 
-// Events are what changed in a store.
+// Events are the changes in a store or engine.
 type Events struct {
 	Epoch, Next int64
-	// Lost tells that some changes are missing.
+	// Lost is set if some changes are missing.
 	Lost    bool
 	Changes []Change
-	// ClockMS is the endpoints' clock, 0 if not told.
+	// ClockMS is the endpoints' clock in Unix ms, 0 if the answer does not give it.
 	ClockMS int64
-	// StartMS is the Unix millisecond of the teller's start, 0 if not told.
+	// StartMS is the start time of the store or engine in Unix ms, 0 if the answer does not
+	// give it.
 	StartMS int64
 }
 
 const (
-	// storeFreshFor is how long after a store's last word it may be named as a source.
-	// Shorter than any restart of a store takes: what it said in its life before is
-	// never used in the next.
+	// storeFreshFor is how long after its last answer a store may be used as a source. It is
+	// shorter than any restart of a store, so the contents of one epoch are never used in the
+	// next.
 	storeFreshFor = time.Second
-	// pendingSaveTimeout is how long a save that was asked for counts as underway.
+	// pendingSaveTimeout is how long a requested save counts as in flight.
 	pendingSaveTimeout = 3 * time.Second
-	// maxFillShare of a store's memory is filled by saves that are asked for; several
-	// processes ask at once.
+	// maxFillShare is the share of a store's memory that requested saves may fill; the rest
+	// allows for several processes that request saves at once.
 	maxFillShare = 0.97
 )
 
-// store is what this process knows of one store.
+// store is what this process knows of one store or engine.
 type store struct {
-	config   routes.Store
+	config routes.Store
+	// known is set while the fields below are up to date as of lastAnswer.
 	known    bool
 	epoch    int64
 	next     int64
 	complete map[SegmentKey]SegmentInfo
-	// reserved is what partial parts keep.
+	// reserved is the number of tokens that partial segments reserve.
 	reserved int
 	used     int
-	// startMS is the teller's start as it last said.
+	// startMS is Events.StartMS of the last answer that gave another one.
 	startMS int64
-	// lastAnswer is when the store last answered, by a clock that goes on while the host
-	// is suspended.
+	// lastAnswer is when the store last answered, by Tracker.Now.
 	lastAnswer time.Time
-	// pending saves, with when they were asked for and their tokens.
+	// pending holds the saves in flight that this process requested.
 	pending       map[SegmentKey]pendingSave
 	pendingTokens int
 	reportState
@@ -110,7 +112,7 @@
 	}
 }
 
-// applyEvents takes in events; false means that the store must be listed again.
+// applyEvents applies events, and returns false if the store must be listed again.
 func (s *store) applyEvents(e Events, now time.Time) bool {
 	if !s.known || e.Epoch != s.epoch || e.Lost {
 		s.known = false
@@ -141,13 +143,13 @@
 	}
 }
 
-// usable tells whether what is known of the store may be relied on.
+// usable reports whether the store's known contents are recent enough to use.
 func (s *store) usable(now time.Time) bool {
 	return s.known && now.Sub(s.lastAnswer) <= storeFreshFor
 }
 
-// transferTime is how long tokens take over this store's link within its failure domain, 0
-// if that is not known.
+// transferTime returns how long a transfer takes over the store's link within its failure
+// domain, 0 if the link's rate is not known.
 func (s *store) transferTime(tokens, tokenBytes int) time.Duration {
 	rate := s.config.LinkBytesPerSecond
 	if rate <= 0 {
@@ -156,10 +158,11 @@
 	return s.config.TransferLatency + time.Duration(float64(tokens)*float64(tokenBytes)/float64(rate)*float64(time.Second))
 }
 
-// holds tells whether a part is whole in the store.
+// holds reports whether the store has all tokens of a segment.
 func (s *store) holds(key SegmentKey, tokens int) bool { return s.complete[key].Tokens >= tokens }
 
-// tryBeginSave tells whether a part should be saved there, and counts it as underway.
+// tryBeginSave reports whether a segment should be saved in the store; if so, it counts the
+// save as in flight.
 func (s *store) tryBeginSave(key SegmentKey, tokens int, now time.Time) bool {
 	if _, stored := s.complete[key]; stored {
 		return false
@@ -178,18 +181,18 @@
 	return true
 }
 
-// minFillTime is the time within which a store's room may run out at its share of what is saved.
-// The saves underway of other processes are not known for about half a second.
+// minFillTime limits a store's weight: saves at that rate take at least this long to use up its
+// free capacity. Saves of other processes become known only after about half a second.
 const minFillTime = 2 * time.Second
 
-// saveWeight is a store's share of the contexts that are saved: its link's rate. Imports and
-// saves ask more of the links than of the memory: in proportion to memory five stores of 29 GB/s
-// and 1,450,000 tokens got nine tenths of all contexts while four of 97 GB/s and 230,000 tokens
-// filled slowly, and with 41 engines 0.02 fewer of all requests were served.
+// saveWeight is the weight by which a store gets contexts to save: its link's rate. Imports and
+// saves are limited by the links more than by memory. With weights in proportion to memory, five
+// stores of 29 GB/s and 1,450,000 tokens got nine tenths of all contexts while four of 97 GB/s
+// and 230,000 tokens filled slowly, and with 41 engines 0.02 fewer of all requests were served.
 //
-// The share falls with the room that is left: a hundred processes that all take a store for the
-// best until it is full send it more in the meantime than it has room for, and what finds none
-// is read again.
+// The weight falls with the free capacity: if a hundred processes all choose the same store
+// until it is full, they send it more saves in the meantime than fit, and the contexts of
+// those that don't fit are prefilled again.
 func (s *store) saveWeight(tokenBytes int) float64 {
 	link := float64(s.config.LinkBytesPerSecond)
 	if link <= 0 {
@@ -201,12 +204,12 @@
 	return min(link, float64(max(0, s.freeCapacity())*tokenBytes)/minFillTime.Seconds())
 }
 
-// freeCapacity is how many more tokens may be saved, as far as is known.
+// freeCapacity returns how many more tokens may be saved, by what this process knows.
 func (s *store) freeCapacity() int {
 	return int(maxFillShare*float64(s.config.MemoryTokens)) - s.used - s.reserved - s.pendingTokens
 }
 
-// hasCapacity tells whether a part finds room, or has it already by a save underway.
+// hasCapacity reports whether a segment fits, or has its capacity already by a save in flight.
 func (s *store) hasCapacity(key SegmentKey, tokens int, now time.Time) bool {
 	if s.hasPendingSave(key, now) {
 		return true
@@ -214,13 +217,13 @@
 	return tokens <= s.freeCapacity()
 }
 
-// hasPendingSave tells whether a save of a part that this process asked for is underway.
+// hasPendingSave reports whether a save of a segment that this process requested is in flight.
 func (s *store) hasPendingSave(key SegmentKey, now time.Time) bool {
 	p, ok := s.pending[key]
 	return ok && now.Sub(p.at) < pendingSaveTimeout
 }
 
-// expirePending forgets saves that nobody has heard of for long.
+// expirePending drops pending saves that were not confirmed within pendingSaveTimeout.
 func (s *store) expirePending(now time.Time) {
 	for key, p := range s.pending {
 		if now.Sub(p.at) >= pendingSaveTimeout {
@@ -229,8 +232,8 @@
 	}
 }
 
-// obsoleteSegments lists the parts that no engine can use any more: their salt names
-// weights below the oldest that an engine of their model still has.
+// obsoleteSegments lists the segments that no engine can use any more: their salt names a
+// version of weights below the oldest that an engine of their model still has.
 func (s *store) obsoleteSegments(oldest map[string]int64) []SegmentKey {
 	var out []SegmentKey
 	for key, h := range s.complete {
@@ -241,13 +244,14 @@
 	return out
 }
 
-// Salt keeps apart the contexts of walls, models and versions of weights.
+// Salt returns the cache salt that separates the contexts of sharing groups, models and
+// versions of weights.
 func Salt(sharingGroup, model, weights string) string {
 	return strconv.FormatUint(xxhash.Sum64String(sharingGroup+"\x00"+model), 36) + "." + weights
 }
 
-// weightsVersion reads the version of weights from a salt; false for a salt that this
-// product did not make.
+// weightsVersion reads the version of weights from a salt; it returns false for a salt that
+// Salt did not make.
 func weightsVersion(salt string) (int64, bool) {
 	_, text, ok := strings.Cut(salt, ".")
 	weights, err := strconv.ParseInt(text, 10, 64)
--- a/internal/coordination/contextcache/tracker.go
+++ b/internal/coordination/contextcache/tracker.go
@@ -12,55 +12,57 @@
 	"limpetwall/internal/transport/pause"
 )
 
-// Client reads a store's contents.
+// Client calls stores and engines. Engines are only asked for events.
 type Client interface {
 	List(ctx context.Context, address string) (Listing, error)
-	// Events waits for changes after since.
+	// Events waits for changes from event number since on.
 	Events(ctx context.Context, address string, since int64, wait time.Duration) (Events, error)
-	// Free drops parts if the store is still in the given epoch.
+	// Free deletes segments if the store is still in the given epoch.
 	Free(ctx context.Context, address string, epoch int64, segments []SegmentKey) error
 }
 
-// Tracker follows all stores and plans imports and saves. Safe for concurrent use.
+// Tracker follows the contents of all stores and engines and plans imports and saves.
+// It is safe for concurrent use.
 type Tracker struct {
 	Client Client
 	Log    *zap.Logger
-	// Domain of this process.
+	// Domain is the failure domain of this process.
 	Domain string
-	// Self names this process among those of its domain.
+	// Self is the name of this process in its domain.
 	Self string
-	// Peers, if set, lists the others of its domain that tell what they follow, by the names
-	// that they have there; see DrainReports.
+	// Peers, if set, lists the names of the domain's other processes that send reports of what
+	// they follow; see DrainReports.
 	Peers func() []string
-	// Now is a clock that goes on while the host is suspended.
+	// Now is a clock that keeps running while the host is suspended.
 	Now func() time.Time
-	// OnEngineStart, if set, is called when an engine's events tell of a start that they had not
-	// told of before.
+	// OnEngineStart, if set, is called when an engine's answer gives another start time than
+	// before.
 	OnEngineStart func(address string, startMS int64)
 
 	mu     sync.Mutex
 	stores map[string]*store
-	// engines hold what each engine keeps in its own memory.
+	// engines holds the cache contents of each engine.
 	engines map[string]*store
-	// clockOffset is the endpoints' clockOffset less this process's, in ms; known once told.
+	// clockOffset is the endpoints' clock minus this process's in ms, by the latest answer that
+	// gave a time; valid if clockOffsetKnown.
 	clockOffset      int64
 	clockOffsetKnown bool
-	// tokenBytes is the size of a token's context, the largest of all engines'.
+	// tokenBytes is the size of one token's context, the largest of all engines.
 	tokenBytes int
 	changed    chan struct{}
-	// peers as last told; chosen remembers for each address whether they leave it to this
-	// process, telling holds those that it follows for them.
+	// peers is the last result of Peers. reporterCache caches isReporter by address; reporting
+	// holds the addresses that this process follows for its domain.
 	peers                    []string
 	reporterCache, reporting map[string]bool
 	endpointClock            endpointClock
 }
 
-// NewTracker returns a keeper that knows no store.
+// NewTracker returns a tracker without stores and engines.
 func NewTracker(client Client, log *zap.Logger, domain string, now func() time.Time) *Tracker {
 	return &Tracker{Client: client, Log: log, Domain: domain, Now: now, stores: map[string]*store{}, engines: map[string]*store{}, changed: make(chan struct{}, 1)}
 }
 
-// SetStores tells which stores the configuration names.
+// SetStores sets the stores that the configuration names.
 func (t *Tracker) SetStores(services map[string]*routes.Service) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,7 +82,7 @@
 	t.wake()
 }
 
-// wake tells Run that there are other stores or engines.
+// wake makes Run look at changed stores or engines at once.
 func (t *Tracker) wake() {
 	select {
 	case t.changed <- struct{}{}:
@@ -89,21 +91,21 @@
 }
 
 const (
-	// eventWait is how long one call waits for changes: shorter than freshFor, so
+	// eventWait is how long one call waits for changes: shorter than storeFreshFor, so
 	// that a store without changes stays usable.
 	eventWait = 600 * time.Millisecond
-	// callMargin is how long an answer may take beyond that.
+	// callMargin is how long an answer may take beyond the call's wait.
 	callMargin = 300 * time.Millisecond
-	// listTimeout bounds a list.
+	// listTimeout bounds calls that list or free segments.
 	listTimeout = time.Second
 	// storeRetryDelay follows a failed call.
 	storeRetryDelay = 300 * time.Millisecond
-	// reviewInterval is how often a process looks whether it is told of all that it does not
-	// follow.
+	// reviewInterval is how often a process checks whether it gets reports of all that it does
+	// not follow itself.
 	reviewInterval = 200 * time.Millisecond
 )
 
-// Run follows the stores and engines, one duty each, until ctx ends.
+// Run follows the stores and engines, with one goroutine each, until ctx ends.
 func (t *Tracker) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	defer workers.Wait()
@@ -134,7 +136,8 @@
 	}
 }
 
-// followers is what each address is followed by.
+// followers returns, by address, the functions that follow the stores and engines which this
+// process is to follow now.
 func (t *Tracker) followers() map[string]func(context.Context, string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,7 +164,7 @@
 	}
 }
 
-// markUnreachable stops the use of a store that does not answer: it may be restarting.
+// markUnreachable marks a store that does not answer as unusable: it may be restarting.
 func (t *Tracker) markUnreachable(address string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -171,8 +174,8 @@
 	}
 }
 
-// followOnce follows a store's events until a call fails, from a list on if what it holds is
-// not known.
+// followOnce follows a store's events until a call fails. It lists the store first if its
+// contents are not known.
 func (t *Tracker) followOnce(ctx context.Context, address string) error {
 	next, ok := t.nextEvent(address)
 	if !ok {
@@ -193,7 +196,7 @@
 		events, err := t.Client.Events(call, address, next, p.callWait())
 		cancel()
 		if errors.Is(err, ErrTooManyCalls) {
-			// What is known stays good for as long as it is fresh; a list would cost more.
+			// The known contents stay valid while they are fresh; a list would cost more.
 			p.saturated = true
 			continue
 		}
@@ -205,8 +208,8 @@
 	return nil
 }
 
-// nextEvent is the number from which a store's events are to be followed, if what it held before
-// is known.
+// nextEvent returns the event number from which to follow a store, if the store's contents
+// before it are known.
 func (t *Tracker) nextEvent(address string) (next int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -217,14 +220,14 @@
 	return s.next, true
 }
 
-// isReporting tells whether this process follows an address for its domain.
+// isReporting reports whether this process follows an address for its domain.
 func (t *Tracker) isReporting(address string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.reporting[address]
 }
 
-// applyListing records a list as of when it was asked for.
+// applyListing records a store's contents as of the time of the request.
 func (t *Tracker) applyListing(address string, l Listing, requestedAt time.Time) (next int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -249,8 +252,8 @@
 	if e.ClockMS > 0 {
 		t.observeClock(e.ClockMS, now)
 	}
-	// A call that waited was answered at its end: what it says is as of then, less
-	// the way of the answer, which callMargin bounds.
+	// A call that waited was answered at its end: the answer is as of now minus the time of its
+	// transfer, which callMargin bounds.
 	asOf := now.Add(-callMargin / 2)
 	if asOf.Before(requestedAt) {
 		asOf = requestedAt
@@ -261,18 +264,19 @@
 	return s.next, ok
 }
 
-// observeClock takes in a reading of the endpoints' clock; k.mu is held.
+// observeClock records a reading of the endpoints' clock; t.mu is held.
 func (t *Tracker) observeClock(clockMS int64, now time.Time) {
 	t.clockOffset, t.clockOffsetKnown = clockMS-now.UnixMilli(), true
 	t.endpointClock.observe(clockMS, now)
 }
 
-// maxFreedPerCall bounds one call; a store answers it within its listing's time.
+// maxFreedPerCall bounds the segments that one call frees, so that a store answers it within
+// listTimeout.
 const maxFreedPerCall = 200
 
-// FreeObsolete frees the parts that no engine can use any more. An engine that has newer
-// weights has ended all runs under older ones, so nothing reads them: it needs no
-// word with other processes, but one process is enough.
+// FreeObsolete frees the segments that no engine can use any more. An engine that has newer
+// weights has ended all runs under older ones, so nothing reads their segments: this needs no
+// agreement with other processes, but one process is enough.
 func (t *Tracker) FreeObsolete(ctx context.Context, oldest map[string]int64) {
 	for address, job := range t.freeJobs(oldest) {
 		call, cancel := context.WithTimeout(ctx, listTimeout)
@@ -282,7 +286,7 @@
 	}
 }
 
-// freeJob is what is to be freed in one store.
+// freeJob lists segments to free in one store.
 type freeJob struct {
 	epoch    int64
 	segments []SegmentKey
--- a/internal/coordination/contextcache/tracker_test.go
+++ b/internal/coordination/contextcache/tracker_test.go
@@ -22,12 +22,12 @@
 	remoteStore = "10.0.0.2:1"
 )
 
-// fakeClock is a time that tests set.
+// fakeClock is a clock that tests set.
 type fakeClock struct{ now time.Time }
 
 func (c *fakeClock) Now() time.Time { return c.now }
 
-// newTracker has two stores that were just listed, both empty.
+// newTracker returns a tracker with two empty stores that were just listed, and its clock.
 func newTracker(t *testing.T) (*Tracker, *fakeClock) {
 	c := &fakeClock{epoch}
 	tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
@@ -56,8 +56,7 @@
 	return p.ImportFrom, p.SaveTo, p.StoredTokens
 }
 
-// storedTokens is how many tokens of a prompt may be imported from stores, from its first
-// part on.
+// storedTokens returns the length of the prompt's prefix, in tokens, that can be imported.
 func (t *Tracker) storedTokens(salt string, segments []Segment) int {
 	tokens := 0
 	for _, i := range t.Lookup(salt, segments).Segments {
@@ -69,8 +68,8 @@
 	return tokens
 }
 
-// TestOnlyCompleteSegmentsAreImported saves a prompt's parts and asks again at each
-// stage of the save.
+// TestOnlyCompleteSegmentsAreImported saves a prompt's segments and plans again at each stage of
+// the save.
 func TestOnlyCompleteSegmentsAreImported(t *testing.T) {
 	tracker, c := newTracker(t)
 	from, to, stored := tracker.plan("s.1")
@@ -79,30 +78,30 @@
 	}
 	target := to[0]
 	if from, to, _ = tracker.plan("s.1"); from[0] != "" || to[0] != "" {
-		t.Errorf("while the save is underway: from %q to %q", from, to)
+		t.Errorf("while the save is in flight: from %q to %q, want neither", from, to)
 	}
 	tracker.applyEvents(target, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 300)}}, c.now)
 	if from, _, _ = tracker.plan("s.1"); from[0] != "" {
-		t.Error("a part of fewer tokens than asked for is imported")
+		t.Error("a segment with fewer tokens than the prompt's is imported")
 	}
 	tracker.applyEvents(target, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
 	from, to, stored = tracker.plan("s.1")
 	if from[0] != target || from[1] != target || to[0] != "" || stored != 2000 {
-		t.Errorf("whole: from %q to %q, %d stored", from, to, stored)
+		t.Errorf("complete: from %q to %q, %d tokens stored", from, to, stored)
 	}
 	if from, _, stored = tracker.plan("s.2"); from[0] != "" || stored != 0 {
-		t.Error("parts made by other weights are imported")
+		t.Error("segments computed with other weights are imported")
 	}
 	if until := tracker.Plan("s.1", "context", testSegments, "", 0).ImportDeadline; until != c.now.UnixMilli()+5000+maxImportTime.Milliseconds() {
 		t.Errorf("imports end at %d", until)
 	}
 }
 
-// TestSilentStoreIsNotUsed freezes this process for two seconds; the store
-// restarts meanwhile, and another process begins to save the same part again.
+// TestSilentStoreIsNotUsed freezes this process for two seconds. Meanwhile the store restarts,
+// and another process begins to save the same segment again.
 //
-// The part is named by what the store said in its life before, and half of it would
-// enter an answer. A store is no source a second after its last word.
+// If the contents of the epoch before the restart were still used, half of a segment would end
+// up in an answer. A store is not a source later than a second after its last answer.
 func TestSilentStoreIsNotUsed(t *testing.T) {
 	tracker, c := newTracker(t)
 	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500)}}, c.now)
@@ -114,17 +113,17 @@
 		t.Errorf("after the freeze: from %q to %q", from, to)
 	}
 	if tracker.storedTokens("s.1", testSegments) != 0 {
-		t.Error("counted as stored")
+		t.Error("segments of a silent store count as stored")
 	}
 	if _, ok := tracker.applyEvents(localStore, Events{Epoch: 8}, c.now); ok {
-		t.Error("the new life's events are taken for the old one's")
+		t.Error("events of the new epoch are applied to the contents of the old one")
 	}
 	if from, _, _ := tracker.plan("s.1"); from[0] != "" {
-		t.Error("a part of the life before is imported")
+		t.Error("a segment of the epoch before is imported")
 	}
 	tracker.applyListing(localStore, Listing{Epoch: 8, Complete: map[SegmentKey]SegmentInfo{}, Partial: map[SegmentKey]int{{"s.1", "p1"}: 500}}, c.now)
 	if from, _, _ := tracker.plan("s.1"); from[0] != "" {
-		t.Error("a part that is being written is imported")
+		t.Error("a segment that is still being written is imported")
 	}
 }
 
@@ -133,30 +132,30 @@
 	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
 	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{{Segment: SegmentKey{"s.1", "p1"}}}}, c.now)
 	if got := tracker.storedTokens("s.1", testSegments); got != 0 {
-		t.Errorf("%d tokens stored behind a part that is gone", got)
+		t.Errorf("got %d stored tokens after a missing segment, want 0", got)
 	}
 	if _, ok := tracker.applyEvents(localStore, Events{Epoch: 7, Lost: true}, c.now); ok {
-		t.Error("a gap is passed over")
+		t.Error("a gap in the events is ignored")
 	}
 	if from, _, _ := tracker.plan("s.1"); from[1] != "" {
-		t.Error("what was known before the gap is still used")
+		t.Error("the contents from before the gap are still used")
 	}
 }
 
-// TestSavesStayWithinCapacity fills a store; what is underway counts.
+// TestSavesStayWithinCapacity fills a store. Saves in flight count as filled.
 func TestSavesStayWithinCapacity(t *testing.T) {
 	s := newStore(routes.Store{MemoryTokens: 10_000})
 	s.loadListing(Listing{Complete: map[SegmentKey]SegmentInfo{{"s", "a"}: {Tokens: 4000}}, Partial: map[SegmentKey]int{{"s", "b"}: 2000}}, epoch)
 	if !s.tryBeginSave(SegmentKey{"s", "c"}, 3000, epoch) || s.tryBeginSave(SegmentKey{"s", "d"}, 3000, epoch) {
-		t.Error("the room is not counted")
+		t.Error("saves are not limited to the free capacity")
 	}
 	s.expirePending(epoch.Add(pendingSaveTimeout))
 	if !s.tryBeginSave(SegmentKey{"s", "d"}, 3000, epoch.Add(pendingSaveTimeout)) {
-		t.Error("a save that was lost keeps its room for ever")
+		t.Error("a lost save keeps its capacity forever")
 	}
 }
 
-// TestObsoleteSegmentsAreFreed frees parts of replaced weights, and no others.
+// TestObsoleteSegmentsAreFreed frees segments of replaced weights, and no others.
 func TestObsoleteSegmentsAreFreed(t *testing.T) {
 	tracker, c := newTracker(t)
 	old, now := Salt("shared", "m", "1"), Salt("shared", "m", "2")
@@ -176,11 +175,11 @@
 	}
 }
 
-// TestContextsAreDistributedByLinkRate places many contexts on stores of unequal links, of which the
-// slowest has the most memory, and on stores that tell no link's rate.
+// TestContextsAreDistributedByLinkRate places many contexts on stores with unequal links, of
+// which a slow one has the most memory, and on stores without a known link rate.
 //
-// Links are what imports and saves wait for: each store gets contexts as its link goes.
-// Where no rate is told, memory decides.
+// Imports and saves wait for links, so each store gets contexts in proportion to its link's rate.
+// Without known rates it gets them in proportion to its memory.
 func TestContextsAreDistributedByLinkRate(t *testing.T) {
 	const n = 10_000
 	linked := map[string]routes.Store{
@@ -200,7 +199,7 @@
 		}
 		for address, share := range map[string]float64{"a": 0.1, "b": 0.1, "c": 0.8} {
 			if want := n * share; math.Abs(float64(counts[address])-want) > 0.15*want {
-				t.Errorf("%s has %d of %g", address, counts[address], want)
+				t.Errorf("store %s: got %d contexts, want about %g", address, counts[address], want)
 			}
 		}
 	}
@@ -211,7 +210,7 @@
 	tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
 	tracker.SetEngines(map[string]Engine{localStore: {Domain: "a"}, remoteStore: {Domain: "b"}})
 	if tracker.Lookup("s", nil).EnginesKnown {
-		t.Error("informed before any word")
+		t.Error("engines count as known before any answer")
 	}
 	tracker.applyEngineEvents(localStore, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500), added("s", "p2", 1500)}})
 	tracker.applyEngineEvents(remoteStore, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p2", 1500)}})
@@ -221,15 +220,15 @@
 	}
 	tracker.applyEngineEvents(localStore, Events{Epoch: 2, Next: 1})
 	if len(tracker.Lookup("s", testSegments).Resident) != 0 {
-		t.Error("a restarted engine still keeps what it had")
+		t.Error("the cache contents from before an engine's restart are still used")
 	}
 	c.now = c.now.Add(2 * engineFreshFor)
 	if tracker.Lookup("s", nil).EnginesKnown {
-		t.Error("informed by old words")
+		t.Error("engines count as known by old answers")
 	}
 }
 
-// fakeClient is one store that restarts on command.
+// fakeClient is one store that tests take down and restart.
 type fakeClient struct {
 	mu    sync.Mutex
 	epoch int64
@@ -267,17 +266,18 @@
 	return nil
 }
 
-// TestEnginesAtCallLimit lets engines of both domains refuse.
+// TestEnginesAtCallLimit has engines of both domains refuse calls for their limit of waiting
+// calls.
 //
-// One of another domain is left to its own domain's processes for long; what the
-// engines of this domain tell is enough to decide by.
+// An engine of another domain is left to its own domain's processes for a long time. The contents
+// of this domain's engines are enough for decisions.
 func TestEnginesAtCallLimit(t *testing.T) {
 	c := &fakeClock{epoch}
 	tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
 	tracker.SetEngines(map[string]Engine{localStore: {Domain: "a"}, remoteStore: {Domain: "b"}, "10.0.0.3:1": {Domain: "b"}})
 	tracker.applyEngineEvents(localStore, Events{Epoch: 1, Next: 5})
 	if !tracker.Lookup("s", nil).EnginesKnown {
-		t.Error("not informed though its own domain's engine is known")
+		t.Error("engines don't count as known though the own domain's engine is known")
 	}
 	rows := []struct {
 		address string
@@ -288,19 +288,19 @@
 	}
 	for _, row := range rows {
 		if got := tracker.handleEngineFailure(row.address, row.err); got != row.want {
-			t.Errorf("%s after %v: %s", row.address, row.err, got)
+			t.Errorf("%s after %v: got delay %s", row.address, row.err, got)
 		}
 	}
 	if !tracker.Lookup("s", nil).EnginesKnown {
-		t.Error("what an engine told is forgotten because it holds too many calls")
+		t.Error("an engine's contents are dropped because it refused a call for its limit")
 	}
 	c.now = c.now.Add(2 * engineFreshFor)
 	if tracker.Lookup("s", nil).EnginesKnown {
-		t.Error("informed by an engine that refuses for long")
+		t.Error("engines count as known by an engine that has refused calls for long")
 	}
 }
 
-// TestEventsContinueAfterFailedCall loses one call; the engine lives on.
+// TestEventsContinueAfterFailedCall loses one call while the engine keeps running.
 func TestEventsContinueAfterFailedCall(t *testing.T) {
 	c := &fakeClock{epoch}
 	tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
@@ -308,19 +308,19 @@
 	tracker.applyEngineEvents(localStore, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500)}})
 	tracker.handleEngineFailure(localStore, errors.New("reset"))
 	if len(tracker.Lookup("s", testSegments).Resident) != 0 {
-		t.Error("used while it does not answer")
+		t.Error("an engine's contents are used while it does not answer")
 	}
 	tracker.applyEngineEvents(localStore, Events{Epoch: 1, Next: 6, Changes: []Change{added("s", "p2", 1500)}})
 	if r := tracker.Lookup("s", testSegments).Resident; len(r) != 1 || r[0].Segments != 2 {
-		t.Errorf("what was known before the failure is lost: %+v", r)
+		t.Errorf("got resident %+v, want two segments: the contents from before the failure are lost", r)
 	}
 }
 
-// TestLargeFleetFollowsOwnDomain follows the engines of two fleets.
+// TestLargeFleetFollowsOwnDomain follows the engines of a small and a large fleet.
 //
-// In the small one all are followed from their oldest event. In the large one only those
-// of the own domain are, from their next event on: the events of 55 engines and what they
-// remember would fill a small host's link, and callers' answers wait behind them.
+// In the small one all engines are followed, from their oldest event on. In the large one only
+// those of the own domain are, from their next event on: the events of 55 engines, new and stored,
+// would fill a small host's link and delay callers' answers.
 func TestLargeFleetFollowsOwnDomain(t *testing.T) {
 	rows := []struct {
 		engines, want int
@@ -337,15 +337,16 @@
 		}
 		tracker.SetEngines(engines)
 		if got, from := len(tracker.followers()), tracker.firstEngineEvent("10.0.0.0:1"); got != row.want || from != row.from {
-			t.Errorf("%d engines: %d followed from %d", row.engines, got, from)
+			t.Errorf("%d engines: got %d followed, from event %d", row.engines, got, from)
 		}
 	}
 }
 
-// TestVeryLargeFleetIsDivided shows two processes a domain of 600 engines.
+// TestVeryLargeFleetIsDivided has two processes follow a domain of 600 engines.
 //
-// Following all would take a small host's whole processor. Each follows a part, not the
-// same, and keeps nearly all of it when an engine leaves: each new one is read anew.
+// Following all would use a small host's whole processor. Each process follows a different subset,
+// and the subset barely changes when an engine is removed: a newly followed engine has to be read
+// from scratch.
 func TestVeryLargeFleetIsDivided(t *testing.T) {
 	const count = 600
 	followed := func(self string, without int) map[string]bool {
@@ -384,8 +385,8 @@
 	}
 }
 
-// TestEngineIsPreferredOverStore plans for a prompt whose first part two engines keep, one
-// of them the target, and whose second part an engine and a store hold.
+// TestEngineIsPreferredOverStore plans for a prompt whose first segment is in two engines, one
+// of them the target, and whose second segment is in an engine and in a store.
 func TestEngineIsPreferredOverStore(t *testing.T) {
 	tracker, c := newTracker(t)
 	const target, other = "10.0.1.1:1", "10.0.1.2:1"
@@ -405,12 +406,12 @@
 	}
 }
 
-// TestSegmentsThatTargetMayHaveEvicted plans for a prompt whose first part the target is said
-// to keep while a store holds both parts.
+// TestSegmentsThatTargetMayHaveEvicted plans for a prompt whose first segment the target is known
+// to hold, while a store holds both segments.
 //
-// The target replaces the first part before the prompt arrives, and its event is still on
-// the way. An engine uses no part behind one that it lacks: without a source for the first
-// it reads both, though the second was imported.
+// The target evicts the first segment before the prompt arrives, and the event has not arrived
+// yet. An engine can't use a segment after one that it lacks: without a source for the first it
+// prefills both, even though the second was imported.
 func TestSegmentsThatTargetMayHaveEvicted(t *testing.T) {
 	tracker, c := newTracker(t)
 	const target, other = "10.0.1.1:1", "10.0.1.2:1"
@@ -418,30 +419,31 @@
 	tracker.applyEngineEvents(target, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
 	tracker.applyEngineEvents(other, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
 	if p := tracker.Plan("s.1", "context", testSegments, target, 0); p.ImportFrom[0] != other || p.ImportFrom[1] != "" {
-		t.Errorf("held by another engine only: %q", p.ImportFrom)
+		t.Errorf("held by another engine only: got sources %q", p.ImportFrom)
 	}
 	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
 	if p := tracker.Plan("s.1", "context", testSegments, target, 0); p.ImportFrom[0] != localStore || p.ImportFrom[1] != localStore {
-		t.Errorf("held by a store, which loses nothing by itself: %q", p.ImportFrom)
+		t.Errorf("held by a store, which evicts nothing by itself: got sources %q", p.ImportFrom)
 	}
 }
 
-// TestFullStoreIsSkipped saves more contexts than one store holds.
+// TestFullStoreIsSkipped saves more contexts than one store can hold.
 func TestFullStoreIsSkipped(t *testing.T) {
 	tracker, c := newTracker(t)
 	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "other", 9_600)}}, c.now)
 	for i := range 8 {
 		p := tracker.Plan("s.1", fmt.Sprint("context ", i), []Segment{{fmt.Sprint("p", i), 1000}}, "", 0)
 		if p.SaveTo[0] != remoteStore {
-			t.Errorf("context %d goes to %q", i, p.SaveTo[0])
+			t.Errorf("context %d: got store %q, want the other one", i, p.SaveTo[0])
 		}
 	}
 }
 
-// TestImportDeadlineLeavesTimeForPrefill asks how long prompts may wait for imports that may not come.
+// TestImportDeadlineLeavesTimeForPrefill checks how long prompts may wait for imports that may
+// not arrive.
 //
-// The engine reads a prompt whose import did not come in its time. Half of the objective is
-// left for that.
+// The engine prefills a prompt whose import did not arrive in time. Half of the objective is left
+// for that.
 func TestImportDeadlineLeavesTimeForPrefill(t *testing.T) {
 	for objective, want := range map[time.Duration]time.Duration{
 		600 * time.Millisecond: 300 * time.Millisecond,
--- a/internal/coordination/contexttransfer/events.go
+++ b/internal/coordination/contexttransfer/events.go
@@ -14,7 +14,7 @@
 func isMissing(err error) bool { return errors.Is(err, kvstore.ErrNotFound) }
 func isFull(err error) bool    { return errors.Is(err, kvstore.ErrFull) }
 
-// FollowEvents follows the engine's cache events.
+// FollowEvents polls the engine's cache events until ctx ends.
 func (m *Mover) FollowEvents(ctx context.Context, every time.Duration) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
@@ -53,8 +53,8 @@
 	}
 }
 
-// ClearResidency is told when the engine swapped its weights: nothing that was
-// resident can be used any more.
+// ClearResidency is called when the engine has swapped its weights: the chunks that were resident
+// can't be used any more.
 func (m *Mover) ClearResidency() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,7 +67,8 @@
 	return m.resident.ResidentPrefix(keys)
 }
 
-// returnTracker learns how often contexts come back. Two generations bound its memory.
+// returnTracker estimates how often contexts are used again. It keeps two generations of
+// contexts, which bounds its memory.
 type returnTracker struct {
 	mu                sync.Mutex
 	size              int
--- a/internal/coordination/contexttransfer/link.go
+++ b/internal/coordination/contexttransfer/link.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// rateWeight is the weight of one transfer in a link's measured rate.
+	// rateWeight is the weight of one transfer in the moving average of a link's rate.
 	rateWeight = 0.2
-	// failuresToSuspend in a row keep a store out of use for suspendFor.
+	// After failuresToSuspend failures in a row a store is not used for suspendFor.
 	failuresToSuspend = 3
 	suspendFor        = 5 * time.Second
-	// uploadShare of a link may be used by uploads of all agents together;
-	// returning prompts have the rest.
+	// uploadShare is the share of a link that the uploads of all agents together may use;
+	// imports have the rest.
 	uploadShare = 0.25
-	// uploadBurst is the time that uploads may save up.
+	// uploadBurst bounds the upload credit: an agent saves up at most this much time's worth.
 	uploadBurst = 2 * time.Second
 )
 
-// Link is what one agent knows of the way to one store.
+// Link tracks one agent's link to one store: the measured rate, the transfers in flight,
+// failures and the upload credit.
 type Link struct {
 	mu             sync.Mutex
 	rate           float64
@@ -26,7 +27,7 @@
 	backlog        int64
 	failures       int
 	suspendedUntil time.Time
-	// uploadCredit of uploads in bytes, as of credited.
+	// uploadCredit is in bytes, as of creditedAt.
 	uploadCredit float64
 	creditedAt   time.Time
 }
@@ -34,7 +35,7 @@
 // NewLink returns a link of a nominal rate in bytes a second.
 func NewLink(nominal float64) *Link { return &Link{rate: nominal, nominal: nominal} }
 
-// Rate is the measured rate in bytes a second, 0 while the store is suspended.
+// Rate returns the measured rate in bytes a second, 0 while the store is suspended.
 func (l *Link) Rate(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,22 +45,22 @@
 	return l.rate
 }
 
-// Backlog is what this agent has underway, in bytes.
+// Backlog returns the number of bytes that this agent has in flight.
 func (l *Link) Backlog() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.backlog
 }
 
-// Begin counts a transfer as underway.
+// Begin records the start of a transfer.
 func (l *Link) Begin(bytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.backlog += bytes
 }
 
-// End counts a transfer's end. A slow link shows as a falling rate, and the
-// decisions turn to recomputing or to another store by themselves.
+// End records the end of a transfer. The measured rate of a slow link falls, so that later
+// decisions recompute more or use another store.
 func (l *Link) End(bytes int64, took time.Duration, ok bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,8 +80,8 @@
 	}
 }
 
-// AllowUpload spends upload credit. All agents together get uploadShare of the
-// link, divided by their number: they need not speak to each other for it.
+// AllowUpload reports whether an upload may start, and spends its upload credit if so. Each agent
+// gets an equal part of uploadShare of the link, so that the agents need not coordinate.
 func (l *Link) AllowUpload(bytes int64, agents int, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +100,7 @@
 	return true
 }
 
-// UploadRate is one agent's part of the link for uploads, in bytes a second.
+// UploadRate returns one agent's share of the link for uploads, in bytes a second.
 func (l *Link) UploadRate(agents int) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/coordination/contexttransfer/mover.go
+++ b/internal/coordination/contexttransfer/mover.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// exportQueueSize bounds the contexts waiting to be copied; more are let go.
+	// exportQueueSize bounds the contexts waiting to be copied; more are dropped.
 	exportQueueSize = 256
 	// maxSeenContexts bounds the contexts remembered for the return rate.
 	maxSeenContexts = 100_000
@@ -31,7 +31,7 @@
 // OpenStore returns the client of a store host.
 type OpenStore func(url string) kvstore.Store
 
-// Mover moves contexts for one engine.
+// Mover copies contexts between one engine and the stores.
 type Mover struct {
 	engine  engine.Engine
 	open    OpenStore
@@ -45,7 +45,7 @@
 	remoteByID map[string]*remote
 	resident   *Residency
 	returnRate *returnTracker
-	// stored remembers pieces that this agent copied or found on a store.
+	// stored holds the chunks that this agent copied to or found on a store.
 	stored  map[contextkey.Key]bool
 	hitRate float64
 }
@@ -68,7 +68,7 @@
 	return func(url string) kvstore.Store { return kvstore.NewClient(url, client) }
 }
 
-// NewMover returns a mover for an engine. agents tells how many share the links.
+// NewMover returns a mover for an engine. agents returns how many agents share the links.
 func NewMover(eng engine.Engine, open OpenStore, store *config.Store, agents func() int, logger *zap.Logger, registry metrics.Registry) *Mover {
 	return &Mover{
 		engine: eng, open: open, config: store, agents: agents, log: logger, metrics: registry,
@@ -77,7 +77,8 @@
 	}
 }
 
-// remoteOf returns the client and link of a store, renewed if it was changed.
+// remoteOf returns the client and link of a store. They are new if the store's URL or link rate
+// has changed.
 func (m *Mover) remoteOf(host *config.StoreHost) *remote {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -89,7 +90,7 @@
 	return r
 }
 
-// remotes returns a piece's stores, best first.
+// remotes returns the stores of a chunk, best first.
 func (m *Mover) remotes(chunk contextkey.Key, copies int) []*remote {
 	hosts := RankStores(m.config.View().StoreHosts, chunk, copies)
 	out := make([]*remote, 0, len(hosts))
@@ -99,7 +100,7 @@
 	return out
 }
 
-// LinkRate is how fast contexts come from the stores in use, in tokens a second.
+// LinkRate returns the mean rate of the links to the stores, in tokens a second.
 func (m *Mover) LinkRate(chunkBytes int64) int {
 	if chunkBytes <= 0 {
 		return 0
@@ -112,7 +113,7 @@
 	return int(total / float64(max(1, len(hosts))) / float64(chunkBytes) * contextkey.PieceTokens)
 }
 
-// Prompt describes a run whose context may be moved.
+// Prompt describes a run whose context may be imported or exported.
 type Prompt struct {
 	Customer     *config.Customer
 	Service      *config.Service
@@ -122,8 +123,8 @@
 	RequestID    string
 }
 
-// ImportContext imports what is worth importing before a run, and returns the number
-// of tokens it brought. Whatever fails is recomputed by the engine.
+// ImportContext imports the chunks that are worth importing before a run, and returns the number
+// of imported tokens. The engine recomputes all that could not be imported.
 func (m *Mover) ImportContext(ctx context.Context, p Prompt) int {
 	if len(p.Keys) == 0 {
 		return 0
@@ -143,8 +144,8 @@
 	return imported * contextkey.PieceTokens
 }
 
-// importInput describes the choice for a prompt; the links of all its missing pieces
-// count together.
+// importInput returns the input of PlanImport for a prompt: the link rate is the mean over the
+// missing chunks, and the backlog is the largest of their links.
 func (m *Mover) importInput(p Prompt, resident int) ImportInput {
 	now := time.Now()
 	s := ImportInput{
@@ -161,8 +162,8 @@
 	return s
 }
 
-// storedProbability is certain for what this agent copied or found itself, else
-// learned from how often its look-ups found something.
+// storedProbability returns the mean probability that the chunks are stored: 1 for a chunk that
+// this agent copied or found itself, else hitRate.
 func (m *Mover) storedProbability(keys []contextkey.Key) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -190,7 +191,7 @@
 	delete(m.stored, key)
 }
 
-// markStored notes that a piece is on its store. The caller holds the lock.
+// markStored records that a chunk is on its store. The caller holds m.mu.
 func (m *Mover) markStored(key contextkey.Key) {
 	if len(m.stored) >= maxTrackedChunks {
 		clear(m.stored)
@@ -198,17 +199,17 @@
 	m.stored[key] = true
 }
 
-// timeout is how long one piece may take: a store that froze or whose link
-// broke down must not hold up a prompt that the engine could compute meanwhile.
+// timeout returns how long the import of one chunk may take: a store that is frozen or whose
+// link is down must not delay a prompt that the engine could compute in the meantime.
 func (r *remote) timeout(bytes int64) time.Duration {
 	const floor, slack = 200 * time.Millisecond, 4
 	nominal := time.Duration(float64(bytes) / float64(r.host.LinkBytesPerSecond) * float64(time.Second))
 	return max(floor, slack*nominal)
 }
 
-// importChunk reads one piece, verifies it and gives it to the engine. Nothing
-// that does not verify goes further: a freed slot, a torn or old block or
-// another customer's would otherwise be read into this caller's answer.
+// importChunk reads a chunk from the first of its stores that has it, verifies it and passes it
+// to the engine. Nothing that fails verification reaches the engine: a freed slot, a torn or
+// outdated block or another customer's block would otherwise end up in this caller's answer.
 func (m *Mover) importChunk(ctx context.Context, p Prompt, key contextkey.Key) bool {
 	for _, r := range m.remotes(key, p.Service.Copies()) {
 		if m.importFrom(ctx, r, p, key) {
@@ -232,7 +233,7 @@
 	content, err := blockseal.Open(p.Customer.Salt, key, sealed)
 	if err != nil {
 		metrics.GetOrRegisterCounter("agent.import_refused", m.metrics).Inc(1)
-		m.log.Warn("block refused", zap.String("store", r.host.ID), zap.String("request_id", p.RequestID), zap.Error(err))
+		m.log.Warn("stored block failed verification", zap.String("store", r.host.ID), zap.String("request_id", p.RequestID), zap.Error(err))
 		r.kv.Free(ctx, key)
 		return false
 	}
@@ -244,7 +245,8 @@
 	return true
 }
 
-// RecordComputed tells that an engine has now computed a context, which may be worth a copy.
+// RecordComputed records that the engine has computed a context, and queues it for export if a
+// copy is worth its cost.
 func (m *Mover) RecordComputed(p Prompt) {
 	if len(p.Keys) == 0 {
 		return
@@ -276,7 +278,7 @@
 	return out
 }
 
-// RunExports copies contexts to their stores until ctx ends.
+// RunExports copies queued contexts to their stores until ctx ends.
 func (m *Mover) RunExports(ctx context.Context) {
 	for {
 		e, err := m.exports.Pop(ctx)
@@ -287,8 +289,8 @@
 	}
 }
 
-// export copies pieces in order and stops at the first that fails: a later piece
-// is of no use without those before it.
+// export copies chunks in order and stops at the first that fails: a later chunk can't be used
+// without those before it.
 func (m *Mover) export(ctx context.Context, e export) {
 	ctx, cancel := context.WithTimeout(ctx, exportTimeout)
 	defer cancel()
@@ -328,8 +330,8 @@
 	return true
 }
 
-// writeBlock stores a block in parts and seals it at the end: until then no reader
-// is given it.
+// writeBlock writes a block in several calls and seals it at the end: before that the store
+// returns it to no reader.
 func writeBlock(ctx context.Context, kv kvstore.Store, key contextkey.Key, data []byte) error {
 	slot, err := kv.Reserve(ctx, key, len(data))
 	if err != nil {
--- a/internal/coordination/contexttransfer/placement.go
+++ b/internal/coordination/contexttransfer/placement.go
@@ -10,11 +10,11 @@
 	"limpetwall/internal/state/contextkey"
 )
 
-// RankStores ranks the stores for a piece of context, best first, by rendezvous
-// hashing of its key. No table of 3.1 million contexts is needed, every process
-// computes the same answer, and a lost store moves only its own pieces. The
-// pieces of one context lie on several stores, so that a long one uses several
-// links, and a prefix that many contexts share does not draw them all to one.
+// RankStores returns the stores for the copies of a chunk, best first, by rendezvous
+// hashing of its key. This needs no table of 3.1 million contexts, every process computes the
+// same result, and a lost store moves only its own chunks. The chunks of one context are on
+// several stores, so that a long context uses several links, and contexts with a common prefix
+// are not all on one store.
 func RankStores(stores []*config.StoreHost, chunk contextkey.Key, copies int) []*config.StoreHost {
 	ranked := append([]*config.StoreHost(nil), stores...)
 	sort.Slice(ranked, func(i, j int) bool {
@@ -30,8 +30,8 @@
 	return xxhash.Sum64(buf[:])
 }
 
-// spreadDomains takes the best store of each failure domain first: two copies
-// in one domain would be lost together.
+// spreadDomains puts the best store of each failure domain first, as two copies in one domain
+// would be lost together, and returns as many stores as there are copies.
 func spreadDomains(ranked []*config.StoreHost, copies int) []*config.StoreHost {
 	var chosen, rest []*config.StoreHost
 	used := map[string]bool{}
--- a/internal/coordination/contexttransfer/plan.go
+++ b/internal/coordination/contexttransfer/plan.go
@@ -1,6 +1,7 @@
-// Package contexttransfer decides where a returning prompt's context comes from and
-// moves it: resident in the engine, imported from a store host over a limited
-// link, or recomputed; and which contexts are worth a copy on a store.
+// Package contexttransfer decides how an engine gets the context of a prompt that has been sent
+// before: it is resident in the engine, imported from a store host over a limited link, or
+// recomputed. The package also decides which contexts are worth a copy on a store, and performs
+// the imports and exports.
 package contexttransfer
 
 import (
@@ -10,43 +11,44 @@
 	"limpetwall/internal/state/contextkey"
 )
 
-// ImportInput is one decision's input. Pieces are counted from the context's start.
+// ImportInput is the input of PlanImport. Chunks are counted from the context's start.
 type ImportInput struct {
-	// Chunks of the context in all; the first Resident are in the engine.
+	// Chunks is the length of the context; the first Resident of them are in the engine.
 	Chunks, Resident int
-	// StoredProbability that the next pieces are on the store, 0 to 1.
+	// StoredProbability is the probability that a missing chunk is on its store.
 	StoredProbability float64
-	// ChunkBytes on the link, and the link's rate now, in bytes a second.
+	// ChunkBytes is a chunk's size on the link, LinkRate the link's rate in bytes a second.
 	ChunkBytes int64
 	LinkRate   float64
-	// LinkBacklog is what waits on the link before this transfer, in bytes.
+	// LinkBacklog is the number of bytes in flight on the link before this transfer.
 	LinkBacklog int64
-	// PrefillRate of the engine in tokens a second, and what waits before it.
+	// PrefillRate is the engine's rate in tokens a second, PrefillTokens its queue.
 	PrefillRate   int
 	PrefillTokens int
 	Objective     config.Objective
 }
 
-// Plan says what to import: pieces [From, To). What follows is recomputed.
+// Plan is what to import: chunks [From, To). The chunks after To are recomputed.
 type Plan struct {
 	From, To int
-	// Cost of this plan and of recomputing all, in the objective's units.
+	// Cost is the cost of this plan, CostRecompute that of recomputing all, in the objective's
+	// units.
 	Cost, CostRecompute float64
 }
 
-// HasImport tells whether the plan imports anything.
+// HasImport reports whether the plan imports anything.
 func (p Plan) HasImport() bool { return p.To > p.From }
 
-// assumedPrefillRate stands in for an engine that reports none, tokens a second.
+// assumedPrefillRate is used for an engine that reports no rate, in tokens a second.
 const assumedPrefillRate = 8000
 
-// PlanImport chooses how many of the missing pieces to import. An import must end
-// before the prefill of what follows it begins, but it runs while the engine
-// works off what waits before this prompt: that time is free.
+// PlanImport chooses how many of the missing chunks to import. An import must end before the
+// prefill of the chunks after it begins, but it runs while the engine works through the queue
+// before this prompt: that time is free.
 //
-// The cost of importing n pieces falls and rises linearly in parts, with one
-// bend where the transfer outlasts the engine's queue; so the best n is at an
-// end or at the bend, and three candidates are enough.
+// The cost of importing n chunks is piecewise linear in n, with one bend where the transfer
+// starts to take longer than the engine's queue. So the best n is at an end or at the bend, and
+// three candidates besides n = 0 are enough.
 func PlanImport(s ImportInput) Plan {
 	missing := s.Chunks - s.Resident
 	recomputeAll := s.cost(0)
@@ -75,8 +77,8 @@
 	return time.Duration(float64(s.PrefillTokens) / s.prefillRate() * float64(time.Second))
 }
 
-// cost of importing n pieces: the chance that they are not there is paid as
-// recomputing them after a failed look-up.
+// cost returns the expected cost of importing n chunks: those that are not on their store are
+// recomputed after the failed lookup.
 func (s ImportInput) cost(n int) float64 {
 	hit := float64(n) * s.StoredProbability
 	recomputed := (float64(s.Chunks-s.Resident) - hit) * contextkey.PieceTokens
@@ -92,18 +94,19 @@
 
 // CopyCandidate describes a context that could be copied to a store.
 type CopyCandidate struct {
-	// ReturnProbability that the context comes back after it left the engine.
+	// ReturnProbability is the probability that the context is used again after the engine
+	// evicted it.
 	ReturnProbability float64
 	ChunkBytes        int64
 	PrefillRate       int
 	Objective         config.Objective
-	// LinkRate is the rate that uploads may use, in bytes a second.
+	// LinkRate is the rate of the store's link in bytes a second.
 	LinkRate float64
 }
 
-// BenefitRatio is the gain of copying one piece per unit of its cost: above 1 the copy
-// pays. The gain is the recomputation saved when the context returns, less the
-// way back over the link; the cost is the link's time and use now.
+// BenefitRatio returns the gain of copying one chunk divided by the cost: above 1 the copy pays.
+// The gain is the recomputation saved when the context is used again, minus its import over the
+// link; the cost is the link's time and use for the copy.
 func BenefitRatio(c CopyCandidate) float64 {
 	if c.LinkRate <= 0 || c.ChunkBytes <= 0 {
 		return 0
@@ -113,7 +116,7 @@
 	recomputeCost := c.Objective.WeightTTFT*contextkey.PieceTokens/s.prefillRate() + c.Objective.WeightRecompute*contextkey.PieceTokens/1000
 	linkCost := c.Objective.WeightLink * contextkey.PieceTokens / 1000
 	returnCost := c.Objective.WeightTTFT*seconds + linkCost
-	// Uploads keep nobody waiting: their time weighs a tenth of a caller's.
+	// No caller waits for an upload: its time has a tenth of the weight of a caller's time.
 	const uploadWeight = 0.1
 	cost := c.Objective.WeightTTFT*seconds*uploadWeight + linkCost
 	if cost <= 0 {
--- a/internal/coordination/contexttransfer/residency.go
+++ b/internal/coordination/contexttransfer/residency.go
@@ -6,28 +6,28 @@
 	"limpetwall/internal/state/contextkey"
 )
 
-// Residency is what an agent believes to be in its engine's memory. The engine's
-// events are late and have gaps, so it is a hint: a piece wrongly thought resident
-// is recomputed, one wrongly thought missing is imported once more.
+// Residency estimates which chunks are in an engine's cache. The engine's events are late and
+// have gaps, so it is only a hint: a chunk wrongly taken as resident is recomputed, one wrongly
+// taken as missing is imported once more.
 //
-// Engines evict the least recently used piece first. A piece that is seen to be
-// gone therefore tells that all pieces last used before it are gone too: one
-// eviction event makes up for the lost ones before it.
+// Engines evict the least recently used chunk first. The eviction of a chunk therefore implies
+// that all chunks last used before it are evicted too: one eviction event makes up for lost ones
+// before it.
 type Residency struct {
 	lastUsed map[contextkey.Key]time.Time
-	// lastEvictedUse is the newest last use among the pieces seen to be lastEvictedUse.
+	// lastEvictedUse is the latest last use among the evicted chunks.
 	lastEvictedUse time.Time
 }
 
-// maxTrackedChunks bounds the pieces remembered.
+// maxTrackedChunks bounds the chunks that a Residency tracks and that a Mover has as stored.
 const maxTrackedChunks = 200_000
 
-// NewResidency returns a belief in an empty memory.
+// NewResidency returns the estimate for an empty cache.
 func NewResidency() *Residency {
 	return &Residency{lastUsed: map[contextkey.Key]time.Time{}}
 }
 
-// MarkUsed tells that a run has used a piece, or that it was brought in.
+// MarkUsed records that a run has used a chunk, or that it was imported.
 func (r *Residency) MarkUsed(key contextkey.Key, now time.Time) {
 	if len(r.lastUsed) >= maxTrackedChunks {
 		r.dropEvicted()
@@ -35,7 +35,7 @@
 	r.lastUsed[key] = now
 }
 
-// dropEvicted makes room; if nothing is known to be gone, all is forgotten.
+// dropEvicted removes the evicted chunks; if too many are left, it removes all.
 func (r *Residency) dropEvicted() {
 	for key, at := range r.lastUsed {
 		if !at.After(r.lastEvictedUse) {
@@ -47,14 +47,15 @@
 	}
 }
 
-// MarkStored tells of an event that a piece entered memory.
+// MarkStored records an event that a chunk entered the cache. The last use of a known chunk stays
+// as it is.
 func (r *Residency) MarkStored(key contextkey.Key, now time.Time) {
 	if _, known := r.lastUsed[key]; !known {
 		r.MarkUsed(key, now)
 	}
 }
 
-// MarkEvicted tells that a piece has left memory.
+// MarkEvicted records an event that a chunk was evicted.
 func (r *Residency) MarkEvicted(key contextkey.Key) {
 	at, known := r.lastUsed[key]
 	if !known {
@@ -66,11 +67,11 @@
 	}
 }
 
-// Clear forgets everything, after a swap of weights.
+// Clear removes all chunks, after a swap of weights.
 func (r *Residency) Clear() { clear(r.lastUsed) }
 
-// ResidentPrefix is the number of pieces of a context, from its start, that are
-// probably resident.
+// ResidentPrefix returns the number of chunks of a context, from its start, that are probably
+// resident.
 func (r *Residency) ResidentPrefix(keys []contextkey.Key) int {
 	for i, key := range keys {
 		if at, known := r.lastUsed[key]; !known || !at.After(r.lastEvictedUse) {
--- a/internal/coordination/contexttransfer/transfer_test.go
+++ b/internal/coordination/contexttransfer/transfer_test.go
@@ -36,37 +36,38 @@
 	rows := []struct {
 		name   string
 		change func(s *contexttransfer.ImportInput)
-		// want is the number of pieces imported; -1 means some but not all.
+		// want is the number of imported chunks.
 		want int
 	}{
 		{"a fast link imports all", func(*contexttransfer.ImportInput) {}, 10},
-		{"what is resident is not moved", func(s *contexttransfer.ImportInput) { s.Resident = 7 }, 3},
+		{"resident chunks are not imported", func(s *contexttransfer.ImportInput) { s.Resident = 7 }, 3},
 		{"nothing is missing", func(s *contexttransfer.ImportInput) { s.Resident = 10 }, 0},
 		{"nothing is stored", func(s *contexttransfer.ImportInput) { s.StoredProbability = 0 }, 0},
 		{"the store is suspended", func(s *contexttransfer.ImportInput) { s.LinkRate = 0 }, 0},
-		{"a link slower than the prefill moves nothing", func(s *contexttransfer.ImportInput) { s.LinkRate = 100 << 20; s.PrefillRate = 20000 }, 0},
+		{"a link slower than the prefill imports nothing", func(s *contexttransfer.ImportInput) { s.LinkRate = 100 << 20; s.PrefillRate = 20000 }, 0},
 		{"a slow link fills the engine's queue time only", func(s *contexttransfer.ImportInput) {
 			s.LinkRate, s.PrefillRate, s.PrefillTokens = 100<<20, 20000, 80000
 		}, 4},
-		{"a backlog on the link takes the free time away", func(s *contexttransfer.ImportInput) {
+		{"a backlog on the link uses up the free time", func(s *contexttransfer.ImportInput) {
 			s.LinkRate, s.PrefillRate, s.PrefillTokens, s.LinkBacklog = 100<<20, 20000, 80000, 400<<20
 		}, 0},
-		{"who minds recomputing imports over a slow link", func(s *contexttransfer.ImportInput) {
+		{"a high weight of recomputation imports over a slow link", func(s *contexttransfer.ImportInput) {
 			s.LinkRate, s.PrefillRate, s.Objective = 100<<20, 20000, recomputeSaving
 		}, 10},
-		{"who minds link use recomputes beside a fast link", func(s *contexttransfer.ImportInput) { s.Objective = linkSaving }, 0},
+		{"a high weight of link use recomputes despite a fast link", func(s *contexttransfer.ImportInput) { s.Objective = linkSaving }, 0},
 	}
 	for _, row := range rows {
 		s := base
 		row.change(&s)
 		p := contexttransfer.PlanImport(s)
 		if got := p.To - p.From; got != row.want || p.From != s.Resident || p.Cost > p.CostRecompute {
-			t.Errorf("%s: %+v, want %d pieces", row.name, p, row.want)
+			t.Errorf("%s: got %+v, want %d imported chunks", row.name, p, row.want)
 		}
 	}
 }
 
-// TestDecideIsBest compares the three candidates with every split.
+// FuzzPlanImport checks that a plan imports only missing chunks and never costs more than
+// recomputing them.
 func FuzzPlanImport(f *testing.F) {
 	f.Add(uint8(10), uint8(0), uint32(8000), uint32(80000), uint32(100), uint32(0), uint8(1), uint8(1), uint8(1))
 	f.Fuzz(func(t *testing.T, chunks, resident uint8, rate, queued, linkMB, backlogMB uint32, a, b, c uint8) {
@@ -78,10 +79,10 @@
 		s.Resident = min(int(resident), s.Chunks)
 		p := contexttransfer.PlanImport(s)
 		if p.From != s.Resident || p.To < p.From || p.To > max(s.Chunks, s.Resident) {
-			t.Fatalf("%+v of %+v", p, s)
+			t.Fatalf("plan %+v of %+v imports other than the missing chunks", p, s)
 		}
 		if p.Cost > p.CostRecompute {
-			t.Fatalf("dearer than recomputing: %+v", p)
+			t.Fatalf("the plan costs more than recomputing: %+v", p)
 		}
 	})
 }
@@ -89,24 +90,24 @@
 func TestBenefitRatio(t *testing.T) {
 	c := contexttransfer.CopyCandidate{ReturnProbability: 0.8, ChunkBytes: 100 << 20, PrefillRate: 8000, Objective: ttftOnly, LinkRate: 1 << 30}
 	if contexttransfer.BenefitRatio(c) < 1 {
-		t.Errorf("a likely return over a fast link: %g", contexttransfer.BenefitRatio(c))
+		t.Errorf("likely use again, fast link: got ratio %g, want at least 1", contexttransfer.BenefitRatio(c))
 	}
 	for name, change := range map[string]func(*contexttransfer.CopyCandidate){
-		"never returns":  func(c *contexttransfer.CopyCandidate) { c.ReturnProbability = 0 },
-		"link too slow":  func(c *contexttransfer.CopyCandidate) { c.LinkRate = 100 << 20 },
-		"link suspended": func(c *contexttransfer.CopyCandidate) { c.LinkRate = 0 },
-		"link is dear":   func(c *contexttransfer.CopyCandidate) { c.Objective = linkSaving },
+		"never used again":      func(c *contexttransfer.CopyCandidate) { c.ReturnProbability = 0 },
+		"link too slow":         func(c *contexttransfer.CopyCandidate) { c.LinkRate = 100 << 20 },
+		"link suspended":        func(c *contexttransfer.CopyCandidate) { c.LinkRate = 0 },
+		"link use is expensive": func(c *contexttransfer.CopyCandidate) { c.Objective = linkSaving },
 	} {
 		x := c
 		change(&x)
 		if contexttransfer.BenefitRatio(x) >= 1 {
-			t.Errorf("%s: %g", name, contexttransfer.BenefitRatio(x))
+			t.Errorf("%s: got ratio %g, want less than 1", name, contexttransfer.BenefitRatio(x))
 		}
 	}
 }
 
-// TestRankStores looks that copies lie in different failure domains, that all
-// compute the same, and that a lost store moves only its own contexts.
+// TestRankStores checks that two copies are in different failure domains, that a store has about
+// its share of the contexts, and that its loss moves no others.
 func TestRankStores(t *testing.T) {
 	var stores []*config.StoreHost
 	for i := range 6 {
@@ -128,17 +129,17 @@
 		}
 	}
 	if moved != 0 || onLost < contexts/12 || onLost > contexts/3 {
-		t.Errorf("%d contexts of the lost store, %d others moved", onLost, moved)
+		t.Errorf("%d contexts were on the lost store, %d others moved", onLost, moved)
 	}
 	if got := contexttransfer.RankStores(stores[:1], contextkey.Key{}, 2); len(got) != 1 {
-		t.Errorf("%d stores of one", len(got))
+		t.Errorf("got %d stores, want the only one", len(got))
 	}
 }
 
-// TestResidencyWithLostEvents evicts pieces in the order of their use and loses most events.
+// TestResidencyWithLostEvents evicts chunks in the order of their use and loses most events.
 //
-// The agent hears of one eviction only; it must not believe in any piece that was
-// used before that one, nor give up those used after it.
+// The agent receives only one eviction event. Chunks used before that one must count as evicted,
+// those used after it as resident.
 func TestResidencyWithLostEvents(t *testing.T) {
 	r := contexttransfer.NewResidency()
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -150,17 +151,17 @@
 	r.MarkEvicted(keys[4])
 	for i, key := range keys {
 		if got := r.ResidentPrefix([]contextkey.Key{key}) == 1; got != (i > 4) {
-			t.Errorf("piece %d: resident %v", i, got)
+			t.Errorf("chunk %d: got resident %v", i, got)
 		}
 	}
 	r.MarkUsed(keys[0], now.Add(time.Minute))
 	if r.ResidentPrefix(keys[:1]) != 1 {
-		t.Error("a piece that was used again is not resident")
+		t.Error("a chunk that was used again is not resident")
 	}
 	r.MarkStored(keys[1], now.Add(time.Minute))
 	r.Clear()
 	if r.ResidentPrefix(keys[9:]) != 0 {
-		t.Error("resident after a swap")
+		t.Error("a chunk is resident after a swap of weights")
 	}
 }
 
@@ -177,7 +178,7 @@
 		}
 	}
 	if share := float64(total) / (rate * seconds); share < 0.23 || share > 0.27 {
-		t.Errorf("uploads took %.2f of the link", share)
+		t.Errorf("uploads used %.2f of the link, want a quarter", share)
 	}
 }
 
@@ -189,14 +190,14 @@
 		l.End(10, time.Second, false, now)
 	}
 	if l.Rate(now) != 0 || l.Rate(now.Add(6*time.Second)) == 0 || l.Backlog() != 0 {
-		t.Errorf("rate %g then %g, backlog %d", l.Rate(now), l.Rate(now.Add(6*time.Second)), l.Backlog())
+		t.Errorf("got rate %g and later %g, backlog %d; want 0 and later more, backlog 0", l.Rate(now), l.Rate(now.Add(6*time.Second)), l.Backlog())
 	}
 	for range 20 {
 		l.Begin(10)
 		l.End(10, time.Second, true, now)
 	}
 	if got := l.Rate(now.Add(time.Minute)); got > 30 {
-		t.Errorf("a slow link still counts %g bytes/s", got)
+		t.Errorf("got rate %g bytes/s of a slow link, want at most 30", got)
 	}
 }
 
@@ -222,7 +223,7 @@
 	}
 	for name, data := range rows {
 		if _, err := blockseal.Open(salt, key, data); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: the block is accepted", name)
 		}
 	}
 }
@@ -231,12 +232,12 @@
 	f.Add(blockseal.Seal([]byte("salt"), contextkey.Key{1}, []byte("x")))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if _, err := blockseal.Open([]byte("another salt"), contextkey.Key{1}, data); err == nil {
-			t.Error("a block verified under a salt it was not sealed with")
+			t.Error("a block is accepted under a salt that it was not sealed with")
 		}
 	})
 }
 
-// fixture is one engine with a mover and a store, in a bubble.
+// fixture is one engine with a mover and a store, in a synctest bubble.
 type fixture struct {
 	t       *testing.T
 	engine  *enginestandin.Engine
@@ -320,13 +321,12 @@
 	return strings.Join(enginestandin.Answer(text, version, 0, 8), "")
 }
 
-// TestCorruptBlocksNeverReachAnswer returns to a context that left the engine,
-// while its store host misbehaves in every way.
+// TestCorruptBlocksNeverReachAnswer sends a prompt again whose context the engine has evicted,
+// while its store host returns faulty blocks of each kind.
 //
-// The context was copied to the store and evicted. The caller's second prompt
-// gets the right answer each time: from the store if it is right, recomputed if
-// the store returns torn, flipped, freed or unsealed blocks, another block's
-// bytes or another customer's.
+// The context was copied to the store before it was evicted. The caller gets the right answer each
+// time: imported from the store if its block is right, recomputed if the store returns torn,
+// flipped, freed or unsealed blocks, another block's bytes or another customer's.
 func TestCorruptBlocksNeverReachAnswer(t *testing.T) {
 	rows := []struct {
 		name    string
@@ -334,7 +334,7 @@
 		before  func(f *fixture)
 		imports bool
 	}{
-		{"a store that is right", kvstandin.Wrongs{}, nil, true},
+		{"a correct store", kvstandin.Wrongs{}, nil, true},
 		{"torn blocks", kvstandin.Wrongs{Torn: true}, nil, false},
 		{"flipped bits", kvstandin.Wrongs{Flipped: true}, nil, false},
 		{"another block's bytes", kvstandin.Wrongs{Misdirected: true}, nil, false},
@@ -345,9 +345,9 @@
 		t.Run(row.name, func(t *testing.T) {
 			runWithFixture(t, func(f *fixture) {
 				prompt := promptText("oak")
-				for range 2 { // the second visit makes a return likely enough to copy
+				for range 2 { // the second run makes the return rate high enough for a copy
 					if got, _ := f.runPrompt("a", prompt); got != wantAnswer(prompt) {
-						t.Fatalf("first answer %q", got)
+						t.Fatalf("got wrong first answer %q", got)
 					}
 				}
 				f.runPrompt("b", prompt) // another customer's copy of the same text
@@ -362,10 +362,10 @@
 				f.store.SetWrongs(row.wrongs)
 				got, imported := f.runPrompt("a", prompt)
 				if got != wantAnswer(prompt) {
-					t.Errorf("answer %q, want %q", got, wantAnswer(prompt))
+					t.Errorf("got answer %q, want %q", got, wantAnswer(prompt))
 				}
 				if row.imports != (imported > 0) {
-					t.Errorf("imported %d tokens", imported)
+					t.Errorf("got %d imported tokens", imported)
 				}
 			})
 		})
@@ -382,8 +382,7 @@
 	}
 }
 
-// writeHalf begins to write the blocks again and stops half-way, as an agent
-// that dies does.
+// writeHalf begins to write the blocks again and stops half-way, like an agent that dies.
 func writeHalf(f *fixture) {
 	for _, key := range keysOf("a") {
 		slot, err := f.store.Reserve(f.t.Context(), key, 200)
