--- a/internal/coordination/contextcache/engines.go
+++ b/internal/coordination/contextcache/engines.go
@@ -191,12 +191,12 @@
 	}
 	p := pollPace{maxWait: engineWait}
 	for p.pauseBeforeCall(ctx) {
-		call, cancel := context.WithTimeout(ctx, p.callWait()+callMargin)
-		events, err := t.Client.Events(call, address, next, p.callWait())
+		callCtx, cancel := context.WithTimeout(ctx, p.callWait()+callMargin)
+		events, err := t.Client.Events(callCtx, address, next, p.callWait())
 		cancel()
 		if err == nil {
 			next = t.applyEngineEvents(address, events)
-			t.reportEngineStart(address, events.StartMS)
+			t.notifyEngineStart(address, events.StartMS)
 			continue
 		}
 		if ctx.Err() != nil {
@@ -233,9 +233,9 @@
 	return engineRetryDelay
 }
 
-// reportEngineStart calls OnEngineStart if an engine's start time differs from the one it
+// notifyEngineStart calls OnEngineStart if an engine's start time differs from the one it
 // gave before.
-func (t *Tracker) reportEngineStart(address string, startMS int64) {
+func (t *Tracker) notifyEngineStart(address string, startMS int64) {
 	t.mu.Lock()
 	e := t.engines[address]
 	changed := e != nil && startMS != 0 && e.startMS != startMS
--- a/internal/coordination/contextcache/follow_test.go
+++ b/internal/coordination/contextcache/follow_test.go
@@ -25,7 +25,7 @@
 			tracker.Run(ctx)
 			close(done)
 		}()
-		tracker.SetStores(map[string]*routes.Service{"s": {Store: &routes.Store{Address: localStore, MemoryTokens: 1000}}})
+		tracker.SetStores(map[string]*routes.Service{"s": {Store: &routes.Store{Address: localAddress, MemoryTokens: 1000}}})
 		stored := func() int { return tracker.storedTokens("s", testSegments[:1]) }
 		time.Sleep(10 * time.Second)
 		if stored() != 500 || client.lists != 1 {
@@ -110,7 +110,7 @@
 		for range processes {
 			tracker := NewTracker(client, zap.NewNop(), "a", time.Now)
 			done.Go(func() { tracker.Run(ctx) })
-			tracker.SetStores(map[string]*routes.Service{"s": {Store: &routes.Store{Address: localStore, MemoryTokens: 1000}}})
+			tracker.SetStores(map[string]*routes.Service{"s": {Store: &routes.Store{Address: localAddress, MemoryTokens: 1000}}})
 			trackers = append(trackers, tracker)
 		}
 		time.Sleep(5 * time.Second)
--- a/internal/coordination/contextcache/reports_test.go
+++ b/internal/coordination/contextcache/reports_test.go
@@ -95,10 +95,10 @@
 	n := 0
 	for i, tracker := range d.trackers {
 		d.mu.Lock()
-		cut := d.disconnected[i]
+		disconnected := d.disconnected[i]
 		d.mu.Unlock()
 		tracker.mu.Lock()
-		if s := tracker.stores[address]; !cut && s != nil && s.usable(tracker.Now()) && s.holds(SegmentKey{"s", "p1"}, 500) {
+		if s := tracker.stores[address]; !disconnected && s != nil && s.usable(tracker.Now()) && s.holds(SegmentKey{"s", "p1"}, 500) {
 			n++
 		}
 		tracker.mu.Unlock()
@@ -111,9 +111,9 @@
 	var out []int
 	for i, tracker := range d.trackers {
 		d.mu.Lock()
-		cut := d.disconnected[i]
+		disconnected := d.disconnected[i]
 		d.mu.Unlock()
-		if !cut && tracker.followers()[address] != nil {
+		if !disconnected && tracker.followers()[address] != nil {
 			out = append(out, i)
 		}
 	}
@@ -130,7 +130,7 @@
 }
 
 func oneStore() map[string]*routes.Service {
-	return map[string]*routes.Service{"s": {Store: &routes.Store{Address: localStore, Domain: "a", MemoryTokens: 1000}}}
+	return map[string]*routes.Service{"s": {Store: &routes.Store{Address: localAddress, Domain: "a", MemoryTokens: 1000}}}
 }
 
 // TestTwoProcessesFollowForDomain has ten processes share the work of following a store, and kills
@@ -143,26 +143,26 @@
 	synctest.Test(t, func(t *testing.T) {
 		domain := newTestDomain(t, &clockedClient{fakeClient{epoch: 1}}, oneStore())
 		time.Sleep(10 * time.Second)
-		following := domain.followersOf(localStore)
+		following := domain.followersOf(localAddress)
 		if len(following) != 2 {
 			t.Fatalf("%d of %d processes follow the store", len(following), domainSize)
 		}
 		for range 100 {
-			if got := domain.countUsable(localStore); got != domainSize {
+			if got := domain.countUsable(localAddress); got != domainSize {
 				t.Fatalf("%d of %d processes can use the store", got, domainSize)
 			}
 			time.Sleep(70 * time.Millisecond)
 		}
 		domain.kill(following[0])
 		for range 50 {
-			if got := domain.countUsable(localStore); got != domainSize-1 {
+			if got := domain.countUsable(localAddress); got != domainSize-1 {
 				t.Fatalf("%d of %d processes can use the store with one follower dead", got, domainSize-1)
 			}
 			time.Sleep(70 * time.Millisecond)
 		}
 		domain.kill(following[1])
 		time.Sleep(1500 * time.Millisecond)
-		if got := domain.countUsable(localStore); got != domainSize-2 {
+		if got := domain.countUsable(localAddress); got != domainSize-2 {
 			t.Errorf("%d of %d processes can use the store with both followers dead", got, domainSize-2)
 		}
 	})
@@ -181,17 +181,17 @@
 		client.down = true
 		client.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		if got := len(domain.followersOf(localStore)); got != 2 {
+		if got := len(domain.followersOf(localAddress)); got != 2 {
 			t.Errorf("%d processes poll the store, want 2", got)
 		}
-		if got := domain.countUsable(localStore); got != 0 {
+		if got := domain.countUsable(localAddress); got != 0 {
 			t.Errorf("%d processes can use the store, want 0", got)
 		}
 		client.mu.Lock()
 		client.down, client.epoch = false, 2
 		client.mu.Unlock()
 		time.Sleep(3 * time.Second)
-		if got := len(domain.followersOf(localStore)); got != 2 {
+		if got := len(domain.followersOf(localAddress)); got != 2 {
 			t.Errorf("%d processes follow the store after its restart, want 2", got)
 		}
 	})
@@ -215,18 +215,18 @@
 // lost: another process may be saving one of them again, and half of it would end up in an answer.
 func TestReportOfEarlierEpochIsIgnored(t *testing.T) {
 	tracker, c := newListedTracker(t)
-	before := Report{Address: localStore, Epoch: 7, AsOf: endpointMS(c.now), Next: 3, Changes: []Change{added("s", "p1", 500)}}
+	before := Report{Address: localAddress, Epoch: 7, AsOf: endpointMS(c.now), Next: 3, Changes: []Change{added("s", "p1", 500)}}
 	tracker.ApplyReport(before)
 	if tracker.storedTokens("s", testSegments) != 500 {
 		t.Fatal("the report is not used")
 	}
 	c.now = c.now.Add(100 * time.Millisecond)
-	tracker.ApplyReport(Report{Address: localStore, Epoch: 8, AsOf: endpointMS(c.now), Next: 0})
+	tracker.ApplyReport(Report{Address: localAddress, Epoch: 8, AsOf: endpointMS(c.now), Next: 0})
 	if tracker.storedTokens("s", testSegments) != 0 {
 		t.Error("segments of the epoch before the restart are used")
 	}
 	tracker.ApplyReport(before)
-	if tracker.storedTokens("s", testSegments) != 0 || tracker.stores[localStore].epoch != 8 {
+	if tracker.storedTokens("s", testSegments) != 0 || tracker.stores[localAddress].epoch != 8 {
 		t.Error("a late report restores the epoch before the restart")
 	}
 }
@@ -237,7 +237,7 @@
 // store's answer counts, not the time when the report was read.
 func TestDelayedReportIsNotFresh(t *testing.T) {
 	tracker, c := newListedTracker(t)
-	report := Report{Address: localStore, Epoch: 7, AsOf: endpointMS(c.now), Next: 3, Changes: []Change{added("s", "p1", 500)}}
+	report := Report{Address: localAddress, Epoch: 7, AsOf: endpointMS(c.now), Next: 3, Changes: []Change{added("s", "p1", 500)}}
 	c.now = c.now.Add(3 * time.Second)
 	// An endpoint's answer is read just as late, which makes its clock look slow.
 	tracker.observeClock(endpointMS(c.now)-3000, c.now)
@@ -253,8 +253,8 @@
 	tracker, c := newListedTracker(t)
 	plus, minus := added("s", "p1", 500), Change{Segment: SegmentKey{"s", "p1"}}
 	plus.Number, minus.Number = 3, 4
-	tracker.ApplyReport(Report{Address: localStore, Epoch: 7, AsOf: endpointMS(c.now), Next: 5, Changes: []Change{plus, minus}})
-	tracker.ApplyReport(Report{Address: localStore, Epoch: 7, AsOf: endpointMS(c.now), Next: 4, Changes: []Change{plus}})
+	tracker.ApplyReport(Report{Address: localAddress, Epoch: 7, AsOf: endpointMS(c.now), Next: 5, Changes: []Change{plus, minus}})
+	tracker.ApplyReport(Report{Address: localAddress, Epoch: 7, AsOf: endpointMS(c.now), Next: 4, Changes: []Change{plus}})
 	if tracker.storedTokens("s", testSegments) != 0 {
 		t.Error("a freed segment is restored by a later report of an earlier change")
 	}
@@ -270,11 +270,11 @@
 	tracker.Self, tracker.Peers = "p0", func() []string { return []string{"p1", "p2", "p3", "p4", "p5", "p6"} }
 	tracker.SetStores(oneStore())
 	tracker.endpointClock.observe(endpointMS(c.now), c.now)
-	tracker.ApplyReport(Report{Address: localStore, Epoch: 7, AsOf: endpointMS(c.now), Next: 3})
-	if tracker.followers()[localStore] == nil {
+	tracker.ApplyReport(Report{Address: localAddress, Epoch: 7, AsOf: endpointMS(c.now), Next: 3})
+	if tracker.followers()[localAddress] == nil {
 		t.Error("the store is not followed")
 	}
-	if tracker.markUnreachable(localStore, errors.New("reset")); tracker.storedTokens("s", testSegments) != 0 {
+	if tracker.markUnreachable(localAddress, errors.New("reset")); tracker.storedTokens("s", testSegments) != 0 {
 		t.Error("the store is used before it is listed")
 	}
 }
--- a/internal/coordination/contextcache/tracker.go
+++ b/internal/coordination/contextcache/tracker.go
@@ -179,9 +179,9 @@
 func (t *Tracker) followOnce(ctx context.Context, address string) error {
 	next, ok := t.nextEvent(address)
 	if !ok {
-		call, cancel := context.WithTimeout(ctx, listTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, listTimeout)
 		requestedAt := t.Now()
-		listing, err := t.Client.List(call, address)
+		listing, err := t.Client.List(callCtx, address)
 		cancel()
 		if err != nil {
 			return err
@@ -191,9 +191,9 @@
 	p := pollPace{maxWait: eventWait}
 	for ok && p.pauseBeforeCall(ctx) {
 		p.reporting = t.isReporting(address)
-		call, cancel := context.WithTimeout(ctx, p.callWait()+callMargin)
+		callCtx, cancel := context.WithTimeout(ctx, p.callWait()+callMargin)
 		requestedAt := t.Now()
-		events, err := t.Client.Events(call, address, next, p.callWait())
+		events, err := t.Client.Events(callCtx, address, next, p.callWait())
 		cancel()
 		if errors.Is(err, ErrTooManyCalls) {
 			// The known contents stay valid while they are fresh; a list would cost more.
@@ -279,8 +279,8 @@
 // agreement with other processes, but one process is enough.
 func (t *Tracker) FreeObsolete(ctx context.Context, oldest map[string]int64) {
 	for address, job := range t.freeJobs(oldest) {
-		call, cancel := context.WithTimeout(ctx, listTimeout)
-		err := t.Client.Free(call, address, job.epoch, job.segments)
+		callCtx, cancel := context.WithTimeout(ctx, listTimeout)
+		err := t.Client.Free(callCtx, address, job.epoch, job.segments)
 		cancel()
 		t.Log.Info("obsolete context freed", zap.String("store", address), zap.Int("parts", len(job.segments)), zap.Error(err))
 	}
--- a/internal/coordination/contextcache/tracker_test.go
+++ b/internal/coordination/contextcache/tracker_test.go
@@ -18,8 +18,8 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 const (
-	localStore  = "10.0.0.1:1"
-	remoteStore = "10.0.0.2:1"
+	localAddress  = "10.0.0.1:1"
+	remoteAddress = "10.0.0.2:1"
 )
 
 // fakeClock is a clock that tests set.
@@ -32,16 +32,16 @@
 	c := &fakeClock{epoch}
 	tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
 	tracker.SetStores(map[string]*routes.Service{
-		"near": {Store: &routes.Store{Address: localStore, Domain: "a", MemoryTokens: 10_000}},
-		"far":  {Store: &routes.Store{Address: remoteStore, Domain: "b", MemoryTokens: 10_000}},
+		"near": {Store: &routes.Store{Address: localAddress, Domain: "a", MemoryTokens: 10_000}},
+		"far":  {Store: &routes.Store{Address: remoteAddress, Domain: "b", MemoryTokens: 10_000}},
 		"llm":  {Engine: &routes.Engine{}},
 	})
-	for _, address := range []string{localStore, remoteStore} {
+	for _, address := range []string{localAddress, remoteAddress} {
 		if _, ok := tracker.applyListing(address, Listing{Epoch: 7, Complete: map[SegmentKey]SegmentInfo{}}, c.now); !ok {
 			t.Fatal("store is not known")
 		}
 	}
-	tracker.applyEvents(localStore, Events{Epoch: 7, ClockMS: c.now.UnixMilli() + 5000}, c.now)
+	tracker.applyEvents(localAddress, Events{Epoch: 7, ClockMS: c.now.UnixMilli() + 5000}, c.now)
 	return tracker, c
 }
 
@@ -104,8 +104,8 @@
 // up in an answer. A store is not a source later than a second after its last answer.
 func TestSilentStoreIsNotUsed(t *testing.T) {
 	tracker, c := newTracker(t)
-	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500)}}, c.now)
-	if from, _, _ := tracker.plan("s.1"); from[0] != localStore {
+	tracker.applyEvents(localAddress, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500)}}, c.now)
+	if from, _, _ := tracker.plan("s.1"); from[0] != localAddress {
 		t.Fatalf("%q", from)
 	}
 	c.now = c.now.Add(2 * time.Second)
@@ -115,13 +115,13 @@
 	if tracker.storedTokens("s.1", testSegments) != 0 {
 		t.Error("segments of a silent store count as stored")
 	}
-	if _, ok := tracker.applyEvents(localStore, Events{Epoch: 8}, c.now); ok {
+	if _, ok := tracker.applyEvents(localAddress, Events{Epoch: 8}, c.now); ok {
 		t.Error("events of the new epoch are applied to the contents of the old one")
 	}
 	if from, _, _ := tracker.plan("s.1"); from[0] != "" {
 		t.Error("a segment of the epoch before is imported")
 	}
-	tracker.applyListing(localStore, Listing{Epoch: 8, Complete: map[SegmentKey]SegmentInfo{}, Partial: map[SegmentKey]int{{"s.1", "p1"}: 500}}, c.now)
+	tracker.applyListing(localAddress, Listing{Epoch: 8, Complete: map[SegmentKey]SegmentInfo{}, Partial: map[SegmentKey]int{{"s.1", "p1"}: 500}}, c.now)
 	if from, _, _ := tracker.plan("s.1"); from[0] != "" {
 		t.Error("a segment that is still being written is imported")
 	}
@@ -129,12 +129,12 @@
 
 func TestEventGapsAndRemovals(t *testing.T) {
 	tracker, c := newTracker(t)
-	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
-	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{{Segment: SegmentKey{"s.1", "p1"}}}}, c.now)
+	tracker.applyEvents(localAddress, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
+	tracker.applyEvents(localAddress, Events{Epoch: 7, Changes: []Change{{Segment: SegmentKey{"s.1", "p1"}}}}, c.now)
 	if got := tracker.storedTokens("s.1", testSegments); got != 0 {
 		t.Errorf("got %d stored tokens after a missing segment, want 0", got)
 	}
-	if _, ok := tracker.applyEvents(localStore, Events{Epoch: 7, Lost: true}, c.now); ok {
+	if _, ok := tracker.applyEvents(localAddress, Events{Epoch: 7, Lost: true}, c.now); ok {
 		t.Error("a gap in the events is ignored")
 	}
 	if from, _, _ := tracker.plan("s.1"); from[1] != "" {
@@ -159,14 +159,14 @@
 func TestObsoleteSegmentsAreFreed(t *testing.T) {
 	tracker, c := newTracker(t)
 	old, now := Salt("shared", "m", "1"), Salt("shared", "m", "2")
-	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{
+	tracker.applyEvents(localAddress, Events{Epoch: 7, Changes: []Change{
 		added(old, "p1", 1), added(now, "p1", 1), added("somebody else's", "p1", 1), added(old, "p2", 1),
 	}}, c.now)
 	if jobs := tracker.freeJobs(map[string]int64{"m": 1}); len(jobs) != 0 {
 		t.Errorf("freed while an engine has the old weights: %v", jobs)
 	}
 	jobs := tracker.freeJobs(map[string]int64{"m": 2})
-	if job := jobs[localStore]; len(jobs) != 1 || job.epoch != 7 || len(job.segments) != 2 || job.segments[0].Salt != old {
+	if job := jobs[localAddress]; len(jobs) != 1 || job.epoch != 7 || len(job.segments) != 2 || job.segments[0].Salt != old {
 		t.Errorf("%v", jobs)
 	}
 	c.now = c.now.Add(2 * storeFreshFor)
@@ -189,10 +189,10 @@
 	for _, stores := range []map[string]routes.Store{linked, withoutRate} {
 		counts := map[string]int{}
 		for i := range n {
-			best, rank := "", 0.0
+			best, bestScore := "", 0.0
 			for address, config := range stores {
-				if r := rendezvousScore(address, fmt.Sprint(i), newStore(config).saveWeight(0)); r > rank {
-					best, rank = address, r
+				if score := rendezvousScore(address, fmt.Sprint(i), newStore(config).saveWeight(0)); score > bestScore {
+					best, bestScore = address, score
 				}
 			}
 			counts[best]++
@@ -208,17 +208,17 @@
 func TestEngineCacheContents(t *testing.T) {
 	c := &fakeClock{epoch}
 	tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
-	tracker.SetEngines(map[string]Engine{localStore: {Domain: "a"}, remoteStore: {Domain: "b"}})
+	tracker.SetEngines(map[string]Engine{localAddress: {Domain: "a"}, remoteAddress: {Domain: "b"}})
 	if tracker.Lookup("s", nil).EnginesKnown {
 		t.Error("engines count as known before any answer")
 	}
-	tracker.applyEngineEvents(localStore, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500), added("s", "p2", 1500)}})
-	tracker.applyEngineEvents(remoteStore, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p2", 1500)}})
+	tracker.applyEngineEvents(localAddress, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500), added("s", "p2", 1500)}})
+	tracker.applyEngineEvents(remoteAddress, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p2", 1500)}})
 	resident := tracker.Lookup("s", testSegments).Resident
-	if !tracker.Lookup("s", nil).EnginesKnown || len(resident) != 1 || resident[0] != (ResidentPrefix{localStore, 2000, 2}) {
+	if !tracker.Lookup("s", nil).EnginesKnown || len(resident) != 1 || resident[0] != (ResidentPrefix{localAddress, 2000, 2}) {
 		t.Errorf("%+v", resident)
 	}
-	tracker.applyEngineEvents(localStore, Events{Epoch: 2, Next: 1})
+	tracker.applyEngineEvents(localAddress, Events{Epoch: 2, Next: 1})
 	if len(tracker.Lookup("s", testSegments).Resident) != 0 {
 		t.Error("the cache contents from before an engine's restart are still used")
 	}
@@ -259,10 +259,10 @@
 	return Events{Epoch: f.epoch, Next: since, ClockMS: 1}, nil
 }
 
-func (f *fakeClient) Free(_ context.Context, _ string, _ int64, parts []SegmentKey) error {
+func (f *fakeClient) Free(_ context.Context, _ string, _ int64, segments []SegmentKey) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.freed = append(f.freed, parts...)
+	f.freed = append(f.freed, segments...)
 	return nil
 }
 
@@ -274,8 +274,8 @@
 func TestEnginesAtCallLimit(t *testing.T) {
 	c := &fakeClock{epoch}
 	tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
-	tracker.SetEngines(map[string]Engine{localStore: {Domain: "a"}, remoteStore: {Domain: "b"}, "10.0.0.3:1": {Domain: "b"}})
-	tracker.applyEngineEvents(localStore, Events{Epoch: 1, Next: 5})
+	tracker.SetEngines(map[string]Engine{localAddress: {Domain: "a"}, remoteAddress: {Domain: "b"}, "10.0.0.3:1": {Domain: "b"}})
+	tracker.applyEngineEvents(localAddress, Events{Epoch: 1, Next: 5})
 	if !tracker.Lookup("s", nil).EnginesKnown {
 		t.Error("engines don't count as known though the own domain's engine is known")
 	}
@@ -284,7 +284,7 @@
 		err     error
 		want    time.Duration
 	}{
-		{remoteStore, ErrTooManyCalls, remoteRetryDelay}, {remoteStore, errors.New("reset"), engineRetryDelay}, {localStore, ErrTooManyCalls, 0}, {"gone", ErrTooManyCalls, engineRetryDelay},
+		{remoteAddress, ErrTooManyCalls, remoteRetryDelay}, {remoteAddress, errors.New("reset"), engineRetryDelay}, {localAddress, ErrTooManyCalls, 0}, {"gone", ErrTooManyCalls, engineRetryDelay},
 	}
 	for _, row := range rows {
 		if got := tracker.handleEngineFailure(row.address, row.err); got != row.want {
@@ -304,13 +304,13 @@
 func TestEventsContinueAfterFailedCall(t *testing.T) {
 	c := &fakeClock{epoch}
 	tracker := NewTracker(nil, zap.NewNop(), "a", c.Now)
-	tracker.SetEngines(map[string]Engine{localStore: {Domain: "a"}})
-	tracker.applyEngineEvents(localStore, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500)}})
-	tracker.handleEngineFailure(localStore, errors.New("reset"))
+	tracker.SetEngines(map[string]Engine{localAddress: {Domain: "a"}})
+	tracker.applyEngineEvents(localAddress, Events{Epoch: 1, Next: 5, Changes: []Change{added("s", "p1", 500)}})
+	tracker.handleEngineFailure(localAddress, errors.New("reset"))
 	if len(tracker.Lookup("s", testSegments).Resident) != 0 {
 		t.Error("an engine's contents are used while it does not answer")
 	}
-	tracker.applyEngineEvents(localStore, Events{Epoch: 1, Next: 6, Changes: []Change{added("s", "p2", 1500)}})
+	tracker.applyEngineEvents(localAddress, Events{Epoch: 1, Next: 6, Changes: []Change{added("s", "p2", 1500)}})
 	if r := tracker.Lookup("s", testSegments).Resident; len(r) != 1 || r[0].Segments != 2 {
 		t.Errorf("got resident %+v, want two segments: the contents from before the failure are lost", r)
 	}
@@ -391,18 +391,18 @@
 	tracker, c := newTracker(t)
 	const target, other = "10.0.1.1:1", "10.0.1.2:1"
 	tracker.SetEngines(map[string]Engine{target: {Domain: "a", TokenBytes: 1000, LinkBytesPerSecond: 1_000_000}, other: {Domain: "b", LinkBytesPerSecond: 1_000_000}})
-	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "p2", 1500)}}, c.now)
+	tracker.applyEvents(localAddress, Events{Epoch: 7, Changes: []Change{added("s.1", "p2", 1500)}}, c.now)
 	tracker.applyEngineEvents(target, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500)}})
-	if p := tracker.Plan("s.1", "context", testSegments, target, 0); p.ImportFrom[0] != "" || p.ImportFrom[1] != localStore {
+	if p := tracker.Plan("s.1", "context", testSegments, target, 0); p.ImportFrom[0] != "" || p.ImportFrom[1] != localAddress {
 		t.Errorf("%q", p.ImportFrom)
 	}
 	tracker.applyEngineEvents(other, Events{Epoch: 1, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}})
 	if p := tracker.Plan("s.1", "context", testSegments, target, 0); p.ImportFrom[0] != other || p.ImportFrom[1] != other {
 		t.Errorf("%q", p.ImportFrom)
 	}
-	imports := tracker.Lookup("s.1", testSegments).Segments
-	if len(imports) != 2 || !imports[1].Stored || imports[1].Domain != "b" || imports[1].TransferTime != 1500*time.Millisecond {
-		t.Errorf("%+v", imports)
+	segments := tracker.Lookup("s.1", testSegments).Segments
+	if len(segments) != 2 || !segments[1].Stored || segments[1].Domain != "b" || segments[1].TransferTime != 1500*time.Millisecond {
+		t.Errorf("%+v", segments)
 	}
 }
 
@@ -421,8 +421,8 @@
 	if p := tracker.Plan("s.1", "context", testSegments, target, 0); p.ImportFrom[0] != other || p.ImportFrom[1] != "" {
 		t.Errorf("held by another engine only: got sources %q", p.ImportFrom)
 	}
-	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
-	if p := tracker.Plan("s.1", "context", testSegments, target, 0); p.ImportFrom[0] != localStore || p.ImportFrom[1] != localStore {
+	tracker.applyEvents(localAddress, Events{Epoch: 7, Changes: []Change{added("s.1", "p1", 500), added("s.1", "p2", 1500)}}, c.now)
+	if p := tracker.Plan("s.1", "context", testSegments, target, 0); p.ImportFrom[0] != localAddress || p.ImportFrom[1] != localAddress {
 		t.Errorf("held by a store, which evicts nothing by itself: got sources %q", p.ImportFrom)
 	}
 }
@@ -430,10 +430,10 @@
 // TestFullStoreIsSkipped saves more contexts than one store can hold.
 func TestFullStoreIsSkipped(t *testing.T) {
 	tracker, c := newTracker(t)
-	tracker.applyEvents(localStore, Events{Epoch: 7, Changes: []Change{added("s.1", "other", 9_600)}}, c.now)
+	tracker.applyEvents(localAddress, Events{Epoch: 7, Changes: []Change{added("s.1", "other", 9_600)}}, c.now)
 	for i := range 8 {
 		p := tracker.Plan("s.1", fmt.Sprint("context ", i), []Segment{{fmt.Sprint("p", i), 1000}}, "", 0)
-		if p.SaveTo[0] != remoteStore {
+		if p.SaveTo[0] != remoteAddress {
 			t.Errorf("context %d: got store %q, want the other one", i, p.SaveTo[0])
 		}
 	}
--- a/internal/coordination/contexttransfer/events.go
+++ b/internal/coordination/contexttransfer/events.go
@@ -39,17 +39,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if stored {
-		m.resident.MarkStored(key, time.Now())
+		m.residency.MarkStored(key, time.Now())
 		return
 	}
-	m.resident.MarkEvicted(key)
+	m.residency.MarkEvicted(key)
 }
 
 func (m *Mover) markUsed(keys ...contextkey.Key) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, key := range keys {
-		m.resident.MarkUsed(key, time.Now())
+		m.residency.MarkUsed(key, time.Now())
 	}
 }
 
@@ -58,13 +58,13 @@
 func (m *Mover) ClearResidency() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.resident.Clear()
+	m.residency.Clear()
 }
 
 func (m *Mover) residentChunks(keys []contextkey.Key) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.resident.ResidentPrefix(keys)
+	return m.residency.ResidentPrefix(keys)
 }
 
 // returnTracker estimates how often contexts are used again. It keeps two generations of
--- a/internal/coordination/contexttransfer/mover.go
+++ b/internal/coordination/contexttransfer/mover.go
@@ -33,17 +33,17 @@
 
 // Mover copies contexts between one engine and the stores.
 type Mover struct {
-	engine  engine.Engine
-	open    OpenStore
-	config  *config.Store
-	agents  func() int
-	log     *zap.Logger
-	metrics metrics.Registry
-	exports *ring.Ring[export]
+	engine    engine.Engine
+	openStore OpenStore
+	config    *config.Store
+	agents    func() int
+	log       *zap.Logger
+	metrics   metrics.Registry
+	exports   *ring.Ring[export]
 
 	mu         sync.Mutex
 	remoteByID map[string]*remote
-	resident   *Residency
+	residency  *Residency
 	returnRate *returnTracker
 	// stored holds the chunks that this agent copied to or found on a store.
 	stored  map[contextkey.Key]bool
@@ -71,8 +71,8 @@
 // NewMover returns a mover for an engine. agents returns how many agents share the links.
 func NewMover(eng engine.Engine, open OpenStore, store *config.Store, agents func() int, logger *zap.Logger, registry metrics.Registry) *Mover {
 	return &Mover{
-		engine: eng, open: open, config: store, agents: agents, log: logger, metrics: registry,
-		exports: ring.New[export](exportQueueSize), remoteByID: map[string]*remote{}, resident: NewResidency(),
+		engine: eng, openStore: open, config: store, agents: agents, log: logger, metrics: registry,
+		exports: ring.New[export](exportQueueSize), remoteByID: map[string]*remote{}, residency: NewResidency(),
 		returnRate: newReturnTracker(maxSeenContexts), stored: map[contextkey.Key]bool{}, hitRate: 0.5,
 	}
 }
@@ -84,7 +84,7 @@
 	defer m.mu.Unlock()
 	r, ok := m.remoteByID[host.ID]
 	if !ok || r.host.URL != host.URL || r.host.LinkBytesPerSecond != host.LinkBytesPerSecond {
-		r = &remote{host: host, kv: m.open(host.URL), link: NewLink(float64(host.LinkBytesPerSecond))}
+		r = &remote{host: host, kv: m.openStore(host.URL), link: NewLink(float64(host.LinkBytesPerSecond))}
 		m.remoteByID[host.ID] = r
 	}
 	return r
