--- a/internal/coordination/contexttransfer/mover.go
+++ b/internal/coordination/contexttransfer/mover.go
@@ -148,18 +148,18 @@
 // missing chunks, and the backlog is the largest of their links.
 func (m *Mover) importInput(p Prompt, resident int) ImportInput {
 	now := time.Now()
-	s := ImportInput{
+	in := ImportInput{
 		Chunks: len(p.Keys), Resident: resident, StoredProbability: m.storedProbability(p.Keys[resident:]),
 		ChunkBytes: p.Status.PieceBytes, PrefillRate: p.Status.PrefillRate, PrefillTokens: p.QueuedTokens, Objective: p.Service.Objective,
 	}
 	missing := p.Keys[resident:]
 	for _, key := range missing {
 		for _, r := range m.remotes(key, 1) {
-			s.LinkRate += r.link.Rate(now) / float64(len(missing))
-			s.LinkBacklog = max(s.LinkBacklog, r.link.Backlog())
+			in.LinkRate += r.link.Rate(now) / float64(len(missing))
+			in.LinkBacklog = max(in.LinkBacklog, r.link.Backlog())
 		}
 	}
-	return s
+	return in
 }
 
 // storedProbability returns the mean probability that the chunks are stored: 1 for a chunk that
@@ -257,11 +257,11 @@
 	if len(remotes) == 0 || len(missing) == 0 {
 		return
 	}
-	worth := BenefitRatio(CopyCandidate{
+	ratio := BenefitRatio(CopyCandidate{
 		ReturnProbability: m.returnRate.rate(), ChunkBytes: p.Status.PieceBytes, PrefillRate: p.Status.PrefillRate,
 		Objective: p.Service.Objective, LinkRate: remotes[0].link.Rate(time.Now()),
 	})
-	if worth >= 1 {
+	if ratio >= 1 {
 		m.exports.TryPush(export{customer: p.Customer, keys: missing, bytes: p.Status.PieceBytes})
 	}
 }
--- a/internal/coordination/contexttransfer/plan.go
+++ b/internal/coordination/contexttransfer/plan.go
@@ -49,47 +49,47 @@
 // The cost of importing n chunks is piecewise linear in n, with one bend where the transfer
 // starts to take longer than the engine's queue. So the best n is at an end or at the bend, and
 // three candidates besides n = 0 are enough.
-func PlanImport(s ImportInput) Plan {
-	missing := s.Chunks - s.Resident
-	recomputeAll := s.cost(0)
-	best := Plan{From: s.Resident, To: s.Resident, Cost: recomputeAll, CostRecompute: recomputeAll}
-	if missing <= 0 || s.LinkRate <= 0 || s.ChunkBytes <= 0 || s.StoredProbability <= 0 {
+func PlanImport(in ImportInput) Plan {
+	missing := in.Chunks - in.Resident
+	recomputeAll := in.cost(0)
+	best := Plan{From: in.Resident, To: in.Resident, Cost: recomputeAll, CostRecompute: recomputeAll}
+	if missing <= 0 || in.LinkRate <= 0 || in.ChunkBytes <= 0 || in.StoredProbability <= 0 {
 		return best
 	}
-	free := s.queueTime() - time.Duration(float64(s.LinkBacklog)/s.LinkRate*float64(time.Second))
-	bend := int(free.Seconds() * s.LinkRate / float64(s.ChunkBytes))
+	free := in.queueTime() - time.Duration(float64(in.LinkBacklog)/in.LinkRate*float64(time.Second))
+	bend := int(free.Seconds() * in.LinkRate / float64(in.ChunkBytes))
 	for _, n := range [...]int{min(missing, max(0, bend)), min(missing, max(0, bend)+1), missing} {
-		if cost := s.cost(n); cost < best.Cost {
-			best.To, best.Cost = s.Resident+n, cost
+		if cost := in.cost(n); cost < best.Cost {
+			best.To, best.Cost = in.Resident+n, cost
 		}
 	}
 	return best
 }
 
-func (s ImportInput) prefillRate() float64 {
-	if s.PrefillRate > 0 {
-		return float64(s.PrefillRate)
+func (in ImportInput) prefillRate() float64 {
+	if in.PrefillRate > 0 {
+		return float64(in.PrefillRate)
 	}
 	return assumedPrefillRate
 }
 
-func (s ImportInput) queueTime() time.Duration {
-	return time.Duration(float64(s.PrefillTokens) / s.prefillRate() * float64(time.Second))
+func (in ImportInput) queueTime() time.Duration {
+	return time.Duration(float64(in.PrefillTokens) / in.prefillRate() * float64(time.Second))
 }
 
 // cost returns the expected cost of importing n chunks: those that are not on their store are
 // recomputed after the failed lookup.
-func (s ImportInput) cost(n int) float64 {
-	hit := float64(n) * s.StoredProbability
-	recomputed := (float64(s.Chunks-s.Resident) - hit) * contextkey.PieceTokens
-	bytes := hit * float64(s.ChunkBytes)
+func (in ImportInput) cost(n int) float64 {
+	hit := float64(n) * in.StoredProbability
+	recomputed := (float64(in.Chunks-in.Resident) - hit) * contextkey.PieceTokens
+	bytes := hit * float64(in.ChunkBytes)
 	transfer := 0.0
 	if n > 0 {
-		transfer = (float64(s.LinkBacklog) + bytes) / s.LinkRate
+		transfer = (float64(in.LinkBacklog) + bytes) / in.LinkRate
 	}
-	ttft := max(transfer, s.queueTime().Seconds()) + recomputed/s.prefillRate()
+	ttft := max(transfer, in.queueTime().Seconds()) + recomputed/in.prefillRate()
 	importedTokens := hit * contextkey.PieceTokens
-	return s.Objective.WeightTTFT*ttft + s.Objective.WeightRecompute*recomputed/1000 + s.Objective.WeightLink*importedTokens/1000
+	return in.Objective.WeightTTFT*ttft + in.Objective.WeightRecompute*recomputed/1000 + in.Objective.WeightLink*importedTokens/1000
 }
 
 // CopyCandidate describes a context that could be copied to a store.
@@ -111,9 +111,9 @@
 	if c.LinkRate <= 0 || c.ChunkBytes <= 0 {
 		return 0
 	}
-	s := ImportInput{PrefillRate: c.PrefillRate}
+	in := ImportInput{PrefillRate: c.PrefillRate}
 	seconds := float64(c.ChunkBytes) / c.LinkRate
-	recomputeCost := c.Objective.WeightTTFT*contextkey.PieceTokens/s.prefillRate() + c.Objective.WeightRecompute*contextkey.PieceTokens/1000
+	recomputeCost := c.Objective.WeightTTFT*contextkey.PieceTokens/in.prefillRate() + c.Objective.WeightRecompute*contextkey.PieceTokens/1000
 	linkCost := c.Objective.WeightLink * contextkey.PieceTokens / 1000
 	returnCost := c.Objective.WeightTTFT*seconds + linkCost
 	// No caller waits for an upload: its time has a tenth of the weight of a caller's time.
