--- a/internal/coordination/contextcache/follow_test.go
+++ b/internal/coordination/contextcache/follow_test.go
@@ -87,7 +87,7 @@
 // three times a second and import nothing in the meantime.
 //
 // Which calls are accepted is random: over 1,500 fleets the mean share was 0.90, and in three
-// fleets it was under 0.8. So the mean of five fleets is checked.
+// fleets it was under 0.8. So the test requires 0.8 of the mean of five fleets.
 func TestProcessesShareLimitedStoreCalls(t *testing.T) {
 	const fleets = 5
 	sum := 0.0
--- a/internal/coordination/contextcache/plan.go
+++ b/internal/coordination/contextcache/plan.go
@@ -166,7 +166,7 @@
 
 // chooseSaveStore returns the store to save a segment in, "" for none. It ranks the stores by a
 // hash of the context, weighted by saveWeight, so that all processes choose the same one. A full
-// store is skipped for the next in rank.
+// store is skipped for the next in rank. The save counts as in flight.
 func (t *Tracker) chooseSaveStore(key SegmentKey, context string, tokens int, now time.Time) string {
 	best, bestScore := "", 0.0
 	for address, s := range t.stores {
--- a/internal/coordination/contextcache/reports_test.go
+++ b/internal/coordination/contextcache/reports_test.go
@@ -205,7 +205,7 @@
 	return tracker, c
 }
 
-// endpointMS returns a time on the clock of newListedTracker's endpoints.
+// endpointMS converts a time to the endpoints' clock of newListedTracker, which is 5 s ahead.
 func endpointMS(at time.Time) int64 { return at.UnixMilli() + 5000 }
 
 // TestReportOfEarlierEpochIsIgnored restarts a store; one of its two followers sees the restart
