--- a/internal/coordination/contextcache/store.go
+++ b/internal/coordination/contextcache/store.go
@@ -34,7 +34,7 @@
 
 // Listing is the contents of a store.
 type Listing struct {
-	// Epoch changes when the store restarts; it is empty then.
+	// Epoch changes when the store restarts. The store is empty then.
 	Epoch int64
 	// Next is the event number from which to continue.
 	Next     int64
