--- a/internal/coordination/contextcache/reports.go
+++ b/internal/coordination/contextcache/reports.go
@@ -13,7 +13,7 @@
 	// reporters is how many processes of a failure domain follow a store or engine and report it
 	// to the others: if one dies or freezes, the other still reports. Stores and engines accept
 	// about a dozen waiting calls for events. When each of a hundred gateways in five domains
-	// followed all by itself, most of the calls were refused, and a gateway knew two of three
+	// followed all of them itself, most of the calls were refused, and a gateway knew two of three
 	// engines and not all stores at any time.
 	reporters = 2
 	// storeReportTimeout and engineReportTimeout are how long a process waits for a report
