--- a/bench/capacity/fleet.go
+++ b/bench/capacity/fleet.go
@@ -16,8 +16,8 @@
 	"google.golang.org/grpc"
 
 	"limpetwall/internal/coordination/configlog"
+	"limpetwall/internal/coordination/gossip"
 	"limpetwall/internal/coordination/plan"
-	"limpetwall/internal/coordination/spread"
 	"limpetwall/internal/protocol/wire"
 	"limpetwall/internal/state/config"
 	"limpetwall/internal/state/fleet"
@@ -116,7 +116,7 @@
 }
 
 type benchNode struct {
-	node   *spread.Node
+	node   *gossip.Node
 	store  *config.Store
 	pool   *rpc.Pool
 	server *grpc.Server
@@ -179,8 +179,8 @@
 		Domain: fmt.Sprint("domain-", i%5), Region: fmt.Sprint("region-", i%5%2), Role: role,
 		Endpoint: fleet.Endpoint{ID: id, Kind: fleet.KindEngine, Labels: map[string]string{"pool": "models"}, Model: "model-1", WeightVersion: "v1"},
 	}, now)
-	n.node = spread.New(spread.DefaultConfig(), table, n.store, configlog.New(b.api), b.hosts, n.pool, zap.NewNop())
-	wire.RegisterPeerServer(n.server, &spread.Server{Node: n.node})
+	n.node = gossip.New(gossip.DefaultConfig(), table, n.store, configlog.New(b.api), b.hosts, n.pool, zap.NewNop())
+	wire.RegisterPeerServer(n.server, &gossip.Server{Node: n.node})
 	go n.server.Serve(listener)
 	b.hosts.Set(hostlist.Host{ID: "host-" + id, Domain: fmt.Sprint("domain-", i%5), State: hostlist.Live, Address: listener.Addr().String()})
 	b.nodes = append(b.nodes, n)
--- a/internal/command/base.go
+++ b/internal/command/base.go
@@ -19,7 +19,7 @@
 	"google.golang.org/grpc"
 
 	"limpetwall/internal/coordination/configlog"
-	"limpetwall/internal/coordination/spread"
+	"limpetwall/internal/coordination/gossip"
 	"limpetwall/internal/protocol/wire"
 	"limpetwall/internal/state/config"
 	"limpetwall/internal/state/finding"
@@ -51,11 +51,11 @@
 	AllowPlaintext           bool
 	DrainTimeout             time.Duration
 	LogLevel                 string
-	Spread                   spread.Config
+	Spread                   gossip.Config
 }
 
 func bindBase(set *settings.Set) *BaseSettings {
-	b := &BaseSettings{Spread: spread.DefaultConfig()}
+	b := &BaseSettings{Spread: gossip.DefaultConfig()}
 	f := set.Flags()
 	f.StringVar(&b.ID, "id", "", "name of this process, unique in the fleet (required)")
 	f.StringVar(&b.Host, "host", "", "host this process runs on, as in the host list (required)")
@@ -138,7 +138,7 @@
 	metrics  metrics.Registry
 	store    *config.Store
 	log      *configlog.Log
-	node     *spread.Node
+	node     *gossip.Node
 	pool     *rpc.Pool
 	server   *grpc.Server
 	listener net.Listener
@@ -190,8 +190,8 @@
 	if b.Seeds != "" {
 		b.Spread.Seeds = strings.Split(b.Seeds, ",")
 	}
-	p.node = spread.New(b.Spread, table, p.store, p.log, hostlist.NewClient(b.HostList, client), p.pool, logger)
-	wire.RegisterPeerServer(p.server, &spread.Server{Node: p.node, Burn: burn})
+	p.node = gossip.New(b.Spread, table, p.store, p.log, hostlist.NewClient(b.HostList, client), p.pool, logger)
+	wire.RegisterPeerServer(p.server, &gossip.Server{Node: p.node, Burn: burn})
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	// Until it is told to stop, nothing waits for a drain.
 	p.drain, p.endDrain = context.WithCancel(context.Background())
--- a/internal/command/base_test.go
+++ b/internal/command/base_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
-	"limpetwall/internal/coordination/spread"
+	"limpetwall/internal/coordination/gossip"
 	"limpetwall/internal/state/fleet"
 	"limpetwall/internal/transport/rpc"
 )
@@ -24,7 +24,7 @@
 	core, lines := observer.New(zap.InfoLevel)
 	p, err := newBase(&BaseSettings{
 		ID: "agent-1", Host: "host-1", Domain: "domain-a", PeerListen: "127.0.0.1:0", AdminListen: "127.0.0.1:0",
-		ObjectAPI: platform.URL, HostList: platform.URL, Spread: spread.DefaultConfig(),
+		ObjectAPI: platform.URL, HostList: platform.URL, Spread: gossip.DefaultConfig(),
 	}, zap.New(core), fleet.RoleAgent, fleet.Endpoint{}, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/coordination/agent/agent.go
+++ b/internal/coordination/agent/agent.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"limpetwall/internal/coordination/contexttransfer"
-	"limpetwall/internal/coordination/spread"
+	"limpetwall/internal/coordination/gossip"
 	"limpetwall/internal/protocol/wire"
 	"limpetwall/internal/state/config"
 	"limpetwall/internal/state/fleet"
@@ -43,7 +43,7 @@
 type Agent struct {
 	wire.UnimplementedAgentServer
 	cfg    Config
-	node   *spread.Node
+	node   *gossip.Node
 	store  *config.Store
 	engine engine.Engine
 	plain  plainservice.Service
@@ -74,7 +74,7 @@
 }
 
 // New returns an agent for an engine or a plain service.
-func New(cfg Config, node *spread.Node, store *config.Store, eng engine.Engine, plain plainservice.Service, open contexttransfer.OpenStore, logger *zap.Logger, registry metrics.Registry) *Agent {
+func New(cfg Config, node *gossip.Node, store *config.Store, eng engine.Engine, plain plainservice.Service, open contexttransfer.OpenStore, logger *zap.Logger, registry metrics.Registry) *Agent {
 	base, cut := context.WithCancel(context.Background())
 	a := &Agent{
 		cfg: cfg, node: node, store: store, engine: eng, plain: plain, zap: logger, metrics: registry,
--- a/internal/coordination/agent/order_test.go
+++ b/internal/coordination/agent/order_test.go
@@ -10,7 +10,7 @@
 
 	"limpetwall/internal/coordination/configlog"
 	"limpetwall/internal/coordination/contexttransfer"
-	"limpetwall/internal/coordination/spread"
+	"limpetwall/internal/coordination/gossip"
 	"limpetwall/internal/protocol/wire"
 	"limpetwall/internal/state/config"
 	"limpetwall/internal/state/fleet"
@@ -26,7 +26,7 @@
 		ID: "a", Incarnation: incarnation, Role: fleet.RoleAgent, Endpoint: fleet.Endpoint{ID: "a", Kind: fleet.KindEngine},
 	}, time.Now())
 	store := config.NewStore()
-	node := spread.New(spread.DefaultConfig(), table, store, configlog.New(standin.New()), nil, nil, zap.NewNop())
+	node := gossip.New(gossip.DefaultConfig(), table, store, configlog.New(standin.New()), nil, nil, zap.NewNop())
 	a := New(DefaultConfig(), node, store, eng, nil, contexttransfer.HTTPStore(), zap.NewNop(), metrics.NewRegistry())
 	a.readStatus(t.Context())
 	return a
--- a/internal/coordination/entry/entry.go
+++ b/internal/coordination/entry/entry.go
@@ -19,11 +19,11 @@
 
 	"limpetwall/internal/coordination/admission"
 	"limpetwall/internal/coordination/errorbudget"
+	"limpetwall/internal/coordination/gossip"
 	"limpetwall/internal/coordination/plan"
 	"limpetwall/internal/coordination/rollout"
 	"limpetwall/internal/coordination/routing"
 	"limpetwall/internal/coordination/runs"
-	"limpetwall/internal/coordination/spread"
 	"limpetwall/internal/protocol/apierror"
 	"limpetwall/internal/protocol/openai"
 	"limpetwall/internal/state/config"
@@ -56,7 +56,7 @@
 
 // Deps are what an entry works with.
 type Deps struct {
-	Node      *spread.Node
+	Node      *gossip.Node
 	Store     *config.Store
 	Directory *routing.Directory
 	Runner    *runs.Runner
--- a/internal/coordination/spread/cluster_test.go
+++ b/internal/coordination/gossip/cluster_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package gossip_test
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"go.uber.org/zap"
 
 	"limpetwall/internal/coordination/configlog"
+	"limpetwall/internal/coordination/gossip"
 	"limpetwall/internal/coordination/plan"
-	"limpetwall/internal/coordination/spread"
 	"limpetwall/internal/protocol/wire"
 	"limpetwall/internal/state/config"
 	"limpetwall/internal/state/fleet"
@@ -119,7 +119,7 @@
 
 type member struct {
 	id, domain, region string
-	node               *spread.Node
+	node               *gossip.Node
 	store              *config.Store
 	stop               context.CancelFunc
 	done               chan struct{}
@@ -191,24 +191,24 @@
 
 // start runs a process; the platform lists its host.
 func (c *cluster) start(id, domain, region string) *member {
-	return c.startWith(spread.DefaultConfig(), id, domain, region)
+	return c.startWith(gossip.DefaultConfig(), id, domain, region)
 }
 
 // startSeeded runs a process that knows one other by its settings.
 func (c *cluster) startSeeded(id, domain, seed string) *member {
-	cfg := spread.DefaultConfig()
+	cfg := gossip.DefaultConfig()
 	cfg.Seeds = []string{seed}
 	return c.startWith(cfg, id, domain, "region-"+domain[:1])
 }
 
-func (c *cluster) startWith(cfg spread.Config, id, domain, region string) *member {
+func (c *cluster) startWith(cfg gossip.Config, id, domain, region string) *member {
 	m := &member{id: id, domain: domain, region: region, store: config.NewStore(), done: make(chan struct{})}
 	now := time.Now()
 	table := fleet.NewTable(fleet.DefaultConfig(), fleet.Member{
 		ID: id, Incarnation: rand.Uint64(), Version: uint64(now.UnixMilli()), Address: id, Host: id,
 		Domain: domain, Region: region, Role: fleet.RoleAgent, Endpoint: fleet.Endpoint{ID: id, Kind: fleet.KindEngine, Labels: map[string]string{"pool": "models"}},
 	}, now)
-	m.node = spread.New(cfg, table, m.store, configlog.New(c.platform), c.hosts, network{c, m}, zap.NewNop())
+	m.node = gossip.New(cfg, table, m.store, configlog.New(c.platform), c.hosts, network{c, m}, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
 	c.mu.Lock()
--- a/internal/coordination/spread/doc.go
+++ b/internal/coordination/gossip/doc.go
@@ -1,4 +1,4 @@
-// Package spread keeps the processes' views of the fleet and of the accepted
+// Package gossip keeps the processes' views of the fleet and of the accepted
 // configuration together, without a coordination service.
 //
 // Duties, a goroutine each: probe (the next ring successor, one exchange a
@@ -6,4 +6,4 @@
 // the few members that are its watchers), expire (suspects that did not
 // refute), reconnect (members thought dead, so that a healed partition needs no
 // operator) and repair (what a peer has and this process lacks).
-package spread
+package gossip
--- a/internal/coordination/spread/spread_test.go
+++ b/internal/coordination/gossip/gossip_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package gossip_test
 
 import (
 	"fmt"
--- a/internal/coordination/spread/server.go
+++ b/internal/coordination/gossip/server.go
@@ -1,4 +1,4 @@
-package spread
+package gossip
 
 import (
 	"context"
--- a/internal/coordination/rollout/runner.go
+++ b/internal/coordination/rollout/runner.go
@@ -7,8 +7,8 @@
 
 	"go.uber.org/zap"
 
+	"limpetwall/internal/coordination/gossip"
 	"limpetwall/internal/coordination/lease"
-	"limpetwall/internal/coordination/spread"
 	"limpetwall/internal/protocol/wire"
 	"limpetwall/internal/state/config"
 	"limpetwall/internal/transport/rpc"
@@ -29,7 +29,7 @@
 
 // Runner gives orders while this process holds the lease.
 type Runner struct {
-	Node  *spread.Node
+	Node  *gossip.Node
 	Store *config.Store
 	Pool  *rpc.Pool
 	Lease *lease.Lease
--- a/internal/e2e/stream_test.go
+++ b/internal/e2e/stream_test.go
@@ -155,7 +155,7 @@
 // Callers see every request served by the other endpoint. Only the host list
 // says that the host leaves, the agent itself has not been told; once the entry
 // knows, no request reaches its engine any more. (How soon that is stands in
-// the spread package's tests, on a clock of their own.)
+// the gossip package's tests, on a clock of their own.)
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	s := newSite(t)
 	s.streamSite(2, "-token-time", "0s", "-prefill-rate", "0")
--- a/internal/transport/rpc/rpc.go
+++ b/internal/transport/rpc/rpc.go
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// Exchange implements spread.Peers.
+// Exchange implements gossip.Peers.
 func (p *Pool) Exchange(ctx context.Context, address string, r *wire.ExchangeRequest) (*wire.ExchangeResponse, error) {
 	c, err := p.conn(address)
 	if err != nil {
@@ -164,7 +164,7 @@
 	return wire.NewPeerClient(c).Exchange(ctx, r)
 }
 
-// FetchConfig implements spread.Peers.
+// FetchConfig implements gossip.Peers.
 func (p *Pool) FetchConfig(ctx context.Context, address string, r *wire.FetchConfigRequest) (*wire.FetchConfigResponse, error) {
 	c, err := p.conn(address)
 	if err != nil {
@@ -173,7 +173,7 @@
 	return wire.NewPeerClient(c).FetchConfig(ctx, r)
 }
 
-// FetchMembers implements spread.Peers.
+// FetchMembers implements gossip.Peers.
 func (p *Pool) FetchMembers(ctx context.Context, address string) (*wire.FetchMembersResponse, error) {
 	c, err := p.conn(address)
 	if err != nil {
@@ -182,7 +182,7 @@
 	return wire.NewPeerClient(c).FetchMembers(ctx, &wire.FetchMembersRequest{})
 }
 
-// Probe implements spread.Peers.
+// Probe implements gossip.Peers.
 func (p *Pool) Probe(ctx context.Context, address string, r *wire.ProbeRequest) (*wire.ProbeResponse, error) {
 	c, err := p.conn(address)
 	if err != nil {
