--- a/internal/coordination/admission/accept_test.go
+++ b/internal/coordination/admission/accept_test.go
@@ -15,22 +15,22 @@
 		retryAfter time.Duration
 	}{
 		{"no queue", Candidate{TTFT: 100 * time.Millisecond, Objective: objective, TimeLeft: 10 * time.Second, PriorityRank: 1}, true, 0},
-		{"a long prompt without queue", Candidate{TTFT: 2 * time.Second, Objective: objective, TimeLeft: 10 * time.Second, PriorityRank: 1}, true, 0},
+		{"long prompt, no queue", Candidate{TTFT: 2 * time.Second, Objective: objective, TimeLeft: 10 * time.Second, PriorityRank: 1}, true, 0},
 		{"urgent, short queue", Candidate{Wait: 700 * time.Millisecond, TTFT: 800 * time.Millisecond, Objective: objective, TimeLeft: 10 * time.Second}, true, 0},
-		{"patient, the same queue", Candidate{Wait: 700 * time.Millisecond, TTFT: 800 * time.Millisecond, Objective: objective, TimeLeft: 10 * time.Second, PriorityRank: 1}, false, 490 * time.Millisecond},
+		{"least urgent, same queue", Candidate{Wait: 700 * time.Millisecond, TTFT: 800 * time.Millisecond, Objective: objective, TimeLeft: 10 * time.Second, PriorityRank: 1}, false, 490 * time.Millisecond},
 		{"urgent, long queue", Candidate{Wait: 3 * time.Second, TTFT: 3 * time.Second, Objective: objective, TimeLeft: 10 * time.Second}, false, 2100 * time.Millisecond},
 		{"no objective, short queue", Candidate{Wait: 700 * time.Millisecond, TTFT: 800 * time.Millisecond, TimeLeft: 10 * time.Second, PriorityRank: 1}, true, 0},
 		{"no objective, long queue", Candidate{Wait: 4 * time.Second, TTFT: 5 * time.Second, TimeLeft: 10 * time.Second, PriorityRank: 1}, false, 2800 * time.Millisecond},
-		{"not before the caller's end", Candidate{TTFT: 600 * time.Millisecond, Objective: objective, TimeLeft: 500 * time.Millisecond}, false, minRetryAfter},
+		{"first token after the caller's deadline", Candidate{TTFT: 600 * time.Millisecond, Objective: objective, TimeLeft: 500 * time.Millisecond}, false, minRetryAfter},
 	}
 	for _, tt := range tests {
 		if ok, retryAfter := Accept(tt.p); ok != tt.ok || retryAfter != tt.retryAfter {
-			t.Errorf("%s: %v, back after %s", tt.name, ok, retryAfter)
+			t.Errorf("%s: got ok %v, retry after %s", tt.name, ok, retryAfter)
 		}
 	}
 }
 
-// requestClass is one kind of request of the load below.
+// requestClass is one kind of request in trafficMix.
 type requestClass struct {
 	perSecond    float64
 	prefill      time.Duration
@@ -38,19 +38,19 @@
 	priorityRank float64
 }
 
-// The trafficMix has three kinds in the proportions of a site's day: long write-ups, the
-// least urgent, that take most of the engines; notes; and short checks, the most
-// urgent.
+// trafficMix has three kinds of requests in the proportions of a site's day: long
+// write-ups, the least urgent, which use most of the engines' time; notes; and short
+// checks, the most urgent.
 var trafficMix = []requestClass{
 	{14.6, 250 * time.Millisecond, 1200 * time.Millisecond, 1},
 	{26.1, 20 * time.Millisecond, time.Second, 0.5},
 	{22.4, 50 * time.Millisecond, 2 * time.Second, 0},
 }
 
-// simulate lets requests come to engines that read one prompt after the other, in order
-// of arrival, each at the engine with the shortest queue. From 5 s to 15 s only
-// down engines are there. It returns each kind's share in time, during that and in
-// the ten seconds after.
+// simulate sends requests of trafficMix to engines that process one prompt after the
+// other in order of arrival, each to the engine with the shortest queue. From 5 s to
+// 15 s only the remaining engines are available. It returns the share of each kind that
+// was on time, during that and in the ten seconds after.
 func simulate(accept func(Candidate) bool, engines, remaining int) (during, after [3]float64) {
 	random := rand.New(rand.NewPCG(1, 2))
 	busyUntil := make([]time.Duration, engines)
@@ -94,12 +94,12 @@
 	return during, after
 }
 
-// TestUrgentRequestsAreInTimeUnderOverload takes half of the engines away for ten seconds, so that
-// 1.4 times as much is to be read as the rest can read.
+// TestUrgentRequestsAreInTimeUnderOverload removes half of the engines for ten seconds, so
+// that the prompts are 1.4 times as much as the remaining ones can process.
 //
-// Without refusals the queues grow and everybody waits alike: the long ones are in
-// time in 0.19, the notes in 0.15, the checks in 0.68. With them the urgent kinds
-// are all in time, and the long ones in 0.74: they get what is left.
+// Without refusals the queues grow and all requests wait alike: 0.19 of the write-ups,
+// 0.15 of the notes and 0.68 of the checks are on time. With refusals the two urgent kinds
+// are all on time, and the write-ups get what is left: 0.74 of them are on time.
 func TestUrgentRequestsAreInTimeUnderOverload(t *testing.T) {
 	acceptAll := func(Candidate) bool { return true }
 	accept := func(p Candidate) bool {
@@ -109,19 +109,19 @@
 	const engines, remaining = 8, 4
 	before, _ := simulate(acceptAll, engines, remaining)
 	during, after := simulate(accept, engines, remaining)
-	t.Logf("in time without refusals: %.2f; with: %.2f, afterwards %.2f", before, during, after)
+	t.Logf("on time without refusals: %.2f; with refusals: %.2f, afterwards %.2f", before, during, after)
 	if before[1] > 0.3 {
-		t.Errorf("the load is no overload: %.2f", before)
+		t.Errorf("the load is no overload: %.2f on time without refusals", before)
 	}
 	if during[1] < 0.95 || during[2] < 0.95 {
-		t.Errorf("the urgent kinds are in time in %.2f", during)
+		t.Errorf("on time: got %.2f, want at least 0.95 of the urgent kinds", during)
 	}
 	if during[0] < 0.6 {
-		t.Errorf("the long ones get %.2f", during[0])
+		t.Errorf("on time: got %.2f of the write-ups, want at least 0.6", during[0])
 	}
 	for i, share := range after {
 		if share < 0.95 {
-			t.Errorf("kind %d is in time in %.2f after the shortage", i, share)
+			t.Errorf("kind %d after the overload: got %.2f on time, want at least 0.95", i, share)
 		}
 	}
 }
--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -26,28 +26,28 @@
 	s := &config.Service{ID: "s"}
 	for range 2 {
 		if _, refusal := limiter.Acquire(slow, s, now); refusal != nil {
-			t.Fatalf("within the burst: %+v", refusal)
+			t.Fatalf("within the burst: got refusal %+v", refusal)
 		}
 	}
 	_, refusal := limiter.Acquire(slow, s, now)
 	if refusal == nil || refusal.Scope != "customer" || refusal.RetryAfter < 900*time.Millisecond || refusal.RetryAfter > time.Second {
-		t.Errorf("beyond the rate: %+v", refusal)
+		t.Errorf("beyond the rate: got %+v, want a refusal for the customer with RetryAfter of 0.9s to 1s", refusal)
 	}
 	if _, refusal := limiter.Acquire(slow, s, now.Add(refusal.RetryAfter+time.Millisecond)); refusal != nil {
-		t.Errorf("at the time advised: %+v", refusal)
+		t.Errorf("after RetryAfter: got refusal %+v", refusal)
 	}
 	release, _ := limiter.Acquire(narrow, s, now)
 	if _, refusal := limiter.Acquire(narrow, s, now); refusal == nil {
-		t.Error("beyond the concurrency")
+		t.Error("beyond the concurrency limit: got no refusal")
 	}
 	release()
 	if _, refusal := limiter.Acquire(narrow, s, now); refusal != nil {
-		t.Errorf("after leaving: %+v", refusal)
+		t.Errorf("after release: got refusal %+v", refusal)
 	}
 	bounded := &config.Service{ID: "bounded", Limits: config.Limits{Concurrent: 1}}
 	limiter.Acquire(free, bounded, now)
 	if _, refusal := limiter.Acquire(free, bounded, now); refusal == nil || refusal.Scope != "service" {
-		t.Errorf("service bound: %+v", refusal)
+		t.Errorf("beyond the service's concurrency limit: got %+v, want a refusal for the service", refusal)
 	}
 }
 
@@ -87,22 +87,23 @@
 // TestBurstDoesNotDelayOtherCustomers lets one customer send twenty times as much as
 // another at the same moment.
 //
-// The small customer's requests take turns with the burst: its mean wait is a
-// small multiple of what it would be alone, not that of the burst.
+// The small customer's requests take turns with the burst: its mean wait must stay a
+// small multiple of what it is alone, not become that of the burst.
 func TestBurstDoesNotDelayOtherCustomers(t *testing.T) {
 	alone := meanWaits(t, map[string]int{"small": 20}, nil)["small"]
 	together := meanWaits(t, map[string]int{"small": 20, "large": 400}, nil)
 	t.Logf("alone %s, beside a burst %s (the burst itself %s)", alone, together["small"], together["large"])
 	if together["small"] > 3*alone+200*time.Millisecond || together["large"] < 4*together["small"] {
-		t.Errorf("alone %s, beside a burst %s", alone, together["small"])
+		t.Errorf("mean wait alone %s, beside a burst %s: too long, or not far below that of the burst", alone, together["small"])
 	}
 	weighted := meanWaits(t, map[string]int{"a": 100, "b": 100}, map[string]float64{"a": 3, "b": 1})
 	if weighted["a"] >= weighted["b"] {
-		t.Errorf("share 3 waits %s, share 1 %s", weighted["a"], weighted["b"])
+		t.Errorf("mean wait %s with share 3, %s with share 1; want it shorter with share 3", weighted["a"], weighted["b"])
 	}
 }
 
-// outcomes is what one customer saw.
+// outcomes are the latencies of one customer's served requests, and the number of those
+// that were refused or too late.
 type outcomes struct {
 	mu        sync.Mutex
 	latencies []time.Duration
@@ -114,8 +115,8 @@
 	return o.latencies[len(o.latencies)*95/100]
 }
 
-// generateLoad sends requests at a mean rate for a while, each holding its place for hold
-// (or for a time that varies about it) and given up on after deadline.
+// generateLoad sends requests at a mean rate of perSecond during length. Each holds its
+// slot for hold, or for a time that varies around it, and is given up on after deadline.
 func generateLoad(q *admission.Queue, wg *sync.WaitGroup, customer string, perSecond float64, length, hold, deadline time.Duration, varyHold bool) *outcomes {
 	out := &outcomes{}
 	wg.Go(func() {
@@ -150,8 +151,8 @@
 
 // TestFloodDoesNotDelayOtherCustomers lets one customer send twenty times its share.
 //
-// Ten customers share forty places; nine use half of theirs. The tenth floods.
-// The callers of the nine see a p95 within 10% of that without the flood.
+// Ten customers share forty slots; nine use half of theirs, the tenth floods the queue.
+// The p95 of the nine must stay within 10% of that without the flood.
 func TestFloodDoesNotDelayOtherCustomers(t *testing.T) {
 	const slots, customers = 40, 10
 	const hold = 100 * time.Millisecond
@@ -170,7 +171,7 @@
 			wg.Wait()
 			for _, s := range quiet {
 				if s.refused > 0 {
-					t.Errorf("%d requests of a quiet customer were refused", s.refused)
+					t.Errorf("%d requests of a customer within its share were refused, want 0", s.refused)
 				}
 				worst = max(worst, s.p95())
 			}
@@ -178,17 +179,18 @@
 		return worst
 	}
 	alone, flooded := p95(0), p95(20)
-	t.Logf("p95 of the quiet: %s alone, %s beside the flood", alone, flooded)
+	t.Logf("p95 of the others: %s alone, %s beside the flood", alone, flooded)
 	if flooded > alone*110/100 {
-		t.Errorf("p95 %s alone, %s beside a flood", alone, flooded)
+		t.Errorf("p95 of the others: %s alone, %s beside the flood, want at most a tenth more", alone, flooded)
 	}
 }
 
-// TestGoodputUnderOverload offers twice the capacity, then half of it.
+// TestGoodputUnderOverload sends twice as many requests as can be served, then half as
+// many.
 //
-// What is served within its time stays at 95% or more of the capacity, the rest
-// is refused; when the overload ends, nothing of it lingers: the next requests
-// are served at once.
+// The requests served within their time must stay at 95% or more of the capacity; the
+// rest is refused. After the overload, no backlog may be left: the next requests are
+// served at once.
 func TestGoodputUnderOverload(t *testing.T) {
 	const slots = 20
 	const hold, deadline, length = 100 * time.Millisecond, time.Second, time.Minute
@@ -202,21 +204,22 @@
 		goodput := float64(len(a.latencies)+len(b.latencies)) / length.Seconds() / capacity
 		t.Logf("goodput %.3f of capacity at twice the capacity, %d refused", goodput, a.refused+b.refused)
 		if goodput < 0.95 {
-			t.Errorf("goodput %.3f of the capacity", goodput)
+			t.Errorf("goodput %.3f of the capacity, want at least 0.95", goodput)
 		}
 		after := generateLoad(q, &wg, "ccc", capacity/2, 10*time.Second, hold, deadline, false)
 		wg.Wait()
 		if after.refused > 0 || after.p95() > hold*110/100 {
-			t.Errorf("after the overload: %d refused, p95 %s", after.refused, after.p95())
+			t.Errorf("after the overload: %d refused, p95 %s; want none refused and p95 at most a tenth above the service time", after.refused, after.p95())
 		}
 	})
 }
 
-// TestQueuedRequestIsRefusedWhenTooLateToStart lets a run take longer than the queue had learned.
+// TestQueuedRequestIsRefusedWhenTooLateToStart lets a request run for longer than the
+// queue's mean service time.
 //
-// A request waits behind it and was not too late when it came. When the place is
-// free, what is left of its time is less than a run takes: its caller is told so
-// at once, and the place goes to nobody in vain.
+// A second request waits behind it; when it arrived, it had enough time left. When the
+// slot is free, its time left is less than the mean service time: it must be refused at
+// once, and the slot must stay free for others.
 func TestQueuedRequestIsRefusedWhenTooLateToStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.NewQueue(10, func() int { return 1 })
@@ -224,7 +227,7 @@
 			return q.Acquire(t.Context(), admission.Request{Customer: "c", TimeLeft: timeLeft})
 		}
 		release, _ := acquire(time.Hour)
-		time.Sleep(9600 * time.Millisecond) // a mean of 600 ms is learned
+		time.Sleep(9600 * time.Millisecond) // the mean service time becomes 600 ms
 		release()
 		release, _ = acquire(time.Hour)
 		result := make(chan error)
@@ -238,7 +241,7 @@
 			t.Errorf("%v", err)
 		}
 		if _, err := acquire(time.Hour); err != nil {
-			t.Errorf("the place is not free: %v", err)
+			t.Errorf("the slot is not free: %v", err)
 		}
 	})
 }
@@ -258,11 +261,11 @@
 		}()
 		synctest.Wait()
 		if _, err := q.Acquire(t.Context(), admission.Request{TimeLeft: time.Hour}); !errors.Is(err, admission.ErrQueueFull) {
-			t.Errorf("full: %v", err)
+			t.Errorf("full queue: got error %v, want ErrQueueFull", err)
 		}
 		cancel()
 		if err := <-waited; !errors.Is(err, context.Canceled) || q.Waiting() != 0 {
-			t.Errorf("left: %v, %d waiting", err, q.Waiting())
+			t.Errorf("caller gone: got error %v and %d waiting, want context.Canceled and 0", err, q.Waiting())
 		}
 		time.Sleep(time.Minute)
 		release()
@@ -272,7 +275,7 @@
 			t.Fatal(err)
 		}
 		if _, err := q.Acquire(t.Context(), admission.Request{TimeLeft: time.Millisecond}); !errors.Is(err, admission.ErrTooLate) {
-			t.Errorf("would be too late: %v", err)
+			t.Errorf("time left below the service time: got error %v, want ErrTooLate", err)
 		}
 		releaseNext()
 	})
--- a/internal/coordination/admission/limiter.go
+++ b/internal/coordination/admission/limiter.go
@@ -1,6 +1,6 @@
-// Package admission bounds what customers and services may have running on one
-// entry: request rates, concurrency, and a fair queue in front of full
-// endpoints. Everyone else's share is safe from one customer's burst.
+// Package admission limits what customers and services may have in flight at one
+// entry: request rates, concurrency, and a fair queue in front of endpoints at
+// capacity. One customer's burst does not take from the shares of the others.
 package admission
 
 import (
@@ -13,34 +13,37 @@
 	"limpetwall/internal/state/config"
 )
 
-// Refusal tells why a request was not admitted and when to come back.
+// Refusal describes why a request was not admitted and when to retry.
 type Refusal struct {
-	// Scope is "customer" or "service".
+	// Scope is whose limit was reached: "customer" or "service".
 	Scope string
-	// RetryAfter is the time until the bound has room again.
+	// RetryAfter is the time until the limit admits another request; for a
+	// concurrency limit, an estimate.
 	RetryAfter time.Duration
 }
 
+// limitState is what one customer or service uses of its limits.
 type limitState struct {
 	limits      config.Limits
 	rateLimiter *rate.Limiter
 	inFlight    int
 }
 
-// Limiter hold the bounds of all customers and services; safe for concurrent use.
+// Limiter enforces the limits of all customers and services; safe for concurrent use.
 type Limiter struct {
 	mu     sync.Mutex
 	states map[string]*limitState
 }
 
-// NewLimiter returns gates without history.
+// NewLimiter returns a limiter without history.
 func NewLimiter() *Limiter { return &Limiter{states: map[string]*limitState{}} }
 
-// concurrencyRetryAfter is the advice for a full concurrency bound: about one short answer.
+// concurrencyRetryAfter is the retry delay advised when a concurrency limit is reached:
+// about the time of one short answer.
 const concurrencyRetryAfter = time.Second
 
 // Acquire admits a request of a customer to a service. On success the caller
-// calls leave at the request's end.
+// must call release at the request's end.
 func (l *Limiter) Acquire(c *config.Customer, s *config.Service, now time.Time) (release func(), refusal *Refusal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,7 +64,8 @@
 	}, nil
 }
 
-// state returns a bound's state, with new limits if the configuration changed.
+// state returns the state of a customer's or service's limits. Limits that have changed in
+// the configuration take effect at once, with a new rate limiter.
 func (l *Limiter) state(name string, limits config.Limits) *limitState {
 	s, ok := l.states[name]
 	if !ok {
--- a/internal/coordination/admission/queue.go
+++ b/internal/coordination/admission/queue.go
@@ -8,47 +8,50 @@
 	"github.com/juju/errors"
 )
 
-// Errors of the queue; the request did not run in either case.
+// Errors of Queue.Acquire; the request did not run in either case.
 const (
 	ErrQueueFull = errors.ConstError("queue is full")
-	// ErrTooLate: the wait would outlast the request's time.
+	// ErrTooLate is returned when the request could not be done within its time left.
 	ErrTooLate = errors.ConstError("would wait too long")
 )
 
 const (
-	// reserveFraction of the places is kept from customers that have more than their
-	// fair part, so that the others find one free when they come.
+	// reserveFraction is the fraction of the slots that customers beyond their fair
+	// share cannot use, so that the others find one free when their requests arrive.
 	reserveFraction = 0.1
-	// minCapacityForReserve places there is a reserve; below, it would cost too much.
+	// minCapacityForReserve is the number of slots from which there is a reserve;
+	// below, it would cost too much.
 	minCapacityForReserve = 4
-	// reserveDuration is how long the reserve is kept after a customer within its fair
-	// part has come: without such customers it would only idle.
+	// reserveDuration is how long the reserve is kept after the last request of a
+	// customer within its fair share arrived: without such customers it would only idle.
 	reserveDuration = 10 * time.Second
 )
 
 // waiter is one queued request.
 type waiter struct {
-	// virtualStart and virtualFinish are virtual times: the smaller virtualFinish goes first.
+	// virtualStart and virtualFinish are in virtual time; the request with the smallest
+	// virtualFinish starts first.
 	virtualStart, virtualFinish float64
-	// deadline is when it must be done.
+	// deadline is when the request must be done.
 	deadline time.Time
-	// decided is closed when it may run or, with err set, will not.
+	// decided is closed when the request may run or, if err is set, is refused.
 	decided chan struct{}
 	err     error
 }
 
-// customerQueue is what a queue knows of one customer with requests in it.
+// customerQueue holds the state of one customer with requests running or waiting.
 type customerQueue struct {
 	share   float64
 	running int
-	// lastFinish is the virtual lastFinish time of its last request.
+	// lastFinish is the virtual finish time of the last request that was queued.
 	lastFinish float64
 	waiting    []*waiter
 }
 
 // Queue lets a bounded number of a service's requests run and makes the rest
 // wait in weighted fair order: each customer's requests get virtual finish
-// times spaced by its share, so a burst queues behind itself.
+// times spaced by its share, so a burst of one customer waits behind its own
+// requests rather than ahead of others'.
 type Queue struct {
 	mu          sync.Mutex
 	capacity    func() int
@@ -56,30 +59,31 @@
 	running     int
 	waiting     int
 	virtualTime float64
-	// lastFairArrival is when a customer within its fair part last came.
+	// lastFairArrival is when a request of a customer within its fair share last arrived.
 	lastFairArrival time.Time
 	customers       map[string]*customerQueue
-	// serviceTime is a moving average of how long a run holds its place.
+	// serviceTime is a moving average of how long a request holds its slot.
 	serviceTime time.Duration
 }
 
-// NewQueue returns a queue of at most maxWait waiting requests. capacity tells
-// how many may run now (0: no bound).
+// NewQueue returns a queue of at most maxWaiting waiting requests. capacity returns
+// how many may run now (0: no limit).
 func NewQueue(maxWaiting int, capacity func() int) *Queue {
 	return &Queue{capacity: capacity, maxWaiting: maxWaiting, customers: map[string]*customerQueue{}}
 }
 
-// Request describes one entrant.
+// Request describes a request that needs a slot.
 type Request struct {
 	Customer string
 	Share    float64
-	// Cost in units of work, such as prompt tokens; at least 1.
+	// Cost is in units of work, such as prompt tokens; less than 1 counts as 1.
 	Cost float64
-	// TimeLeft left until the request must be done.
+	// TimeLeft is the time until the request must be done.
 	TimeLeft time.Duration
 }
 
-// Acquire waits for a place. On success the caller calls release at the end.
+// Acquire waits for a slot. On success the caller must call release at the request's
+// end.
 func (q *Queue) Acquire(ctx context.Context, r Request) (release func(), err error) {
 	q.mu.Lock()
 	c := q.queueOf(r)
@@ -123,18 +127,18 @@
 	return c
 }
 
-// removeIfIdle forgets a customer with nothing in the queue. With its line goes its
-// virtual finish time: nobody has a debt from the past.
+// removeIfIdle removes a customer with nothing running or waiting. Its virtual finish
+// time goes too, so that past use does not delay its next requests.
 func (q *Queue) removeIfIdle(customer string, c *customerQueue) {
 	if c.running == 0 && len(c.waiting) == 0 {
 		delete(q.customers, customer)
 	}
 }
 
-// canRun tells whether a customer's next request may start. The last places are
-// for customers within their fair part: one that floods the queue takes all
-// others, but a quiet customer's request still finds a place at once, instead of
-// waiting for a run of the flood to end.
+// canRun reports whether a customer's next request may start. The last slots are
+// reserved for customers within their fair share: a customer that floods the queue
+// takes all others, but another customer's request still finds a free slot at once,
+// instead of waiting until a request of the flood ends.
 func (q *Queue) canRun(c *customerQueue) bool {
 	limit := q.capacity()
 	if limit == 0 {
@@ -147,9 +151,9 @@
 	return q.running < limit-reserve
 }
 
-// isHeavy tells whether a customer has more than its fair part and at least half
-// of what the heaviest has, both by share. What the quiet leave free, a customer
-// in between may use without being held for a flood.
+// isHeavy reports whether a customer has used up its fair share and has at least half
+// as many requests running as the heaviest customer, relative to their shares. A
+// customer below that may use what others leave free without being treated as a flood.
 func (q *Queue) isHeavy(c *customerQueue, limit int) bool {
 	if c.running < q.fairSlots(c, limit) {
 		return false
@@ -161,8 +165,8 @@
 	return float64(c.running)/c.share >= maxLoad/2
 }
 
-// fairSlots is a customer's part of the places among those present and one more
-// that may come.
+// fairSlots returns a customer's fair share of the slots, among the customers present
+// and one more that may arrive.
 func (q *Queue) fairSlots(c *customerQueue, limit int) int {
 	total := 1.0
 	for _, other := range q.customers {
@@ -171,9 +175,10 @@
 	return max(1, int(float64(limit)*c.share/total))
 }
 
-// admitToWait turns away at once what would wait in vain: the caller can go
-// elsewhere, and no capacity is spent on an answer that comes too late. A full
-// queue turns away the newest of its longest line, not who has little in it.
+// admitToWait refuses at once a request that would wait in vain: the caller can go
+// elsewhere, and no capacity is spent on an answer that comes too late. A full queue
+// refuses the newest request of the customer with the most waiting, not one of a
+// customer with few.
 func (q *Queue) admitToWait(c *customerQueue, r Request) error {
 	if q.expectedWait(c)+q.serviceTime > r.TimeLeft {
 		return ErrTooLate
@@ -202,14 +207,15 @@
 	close(w.decided)
 }
 
-// expectedWait of a customer's next request is by what it has waiting itself and
-// its part of the places: others' lines do not stand before it.
+// expectedWait estimates how long a customer's next request would wait, from what the
+// customer has waiting and its fair share of the slots: the waiting requests of other
+// customers are not ahead of it.
 func (q *Queue) expectedWait(c *customerQueue) time.Duration {
 	slots := q.fairSlots(c, max(1, q.capacity()))
 	return q.serviceTime * time.Duration(len(c.waiting)+1) / time.Duration(slots)
 }
 
-// RetryAfter tells a customer when the queue will probably have room for it.
+// RetryAfter estimates the time until the queue has capacity for a customer.
 func (q *Queue) RetryAfter(customer string) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -234,7 +240,7 @@
 	return w
 }
 
-// abandon takes out a waiter whose caller is gone.
+// abandon removes a waiter whose caller is gone.
 func (q *Queue) abandon(customer string, c *customerQueue, w *waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -247,7 +253,7 @@
 		}
 	}
 	if w.err == nil {
-		// Granted at the same moment: hand the place on.
+		// The request got its slot at the same moment: pass it on.
 		q.releaseSlot(customer, c)
 	}
 }
@@ -273,7 +279,7 @@
 	}
 }
 
-// startWaiting lets waiting requests in while there is room.
+// startWaiting starts waiting requests while there is free capacity.
 func (q *Queue) startWaiting() {
 	for q.waiting > 0 {
 		c := q.nextToStart()
@@ -283,8 +289,8 @@
 		w := c.waiting[0]
 		c.waiting = c.waiting[1:]
 		if time.Until(w.deadline) < q.serviceTime {
-			// It would be done too late. Running it would spend a place on nothing,
-			// and under overload on nothing but such runs.
+			// It would be done too late. Running it would waste a slot, and under
+			// overload the slots would go to nothing but such requests.
 			q.refuse(w, ErrTooLate)
 			continue
 		}
@@ -295,7 +301,8 @@
 	}
 }
 
-// nextToStart is the line with the smallest virtual finish time that may run.
+// nextToStart returns the customer whose next request has the smallest virtual finish
+// time of those that may start, or nil if none may.
 func (q *Queue) nextToStart() *customerQueue {
 	var best *customerQueue
 	for _, c := range q.customers {
@@ -309,14 +316,14 @@
 	return best
 }
 
-// Dispatch lets waiting requests in after the capacity has grown.
+// Dispatch starts waiting requests after the capacity has grown.
 func (q *Queue) Dispatch() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.startWaiting()
 }
 
-// Waiting is the number of requests in the queue.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
