--- a/internal/coordination/idempotency/binder.go
+++ b/internal/coordination/idempotency/binder.go
@@ -11,8 +11,8 @@
 	"limpetwall/internal/transport/ring"
 )
 
-// Errors of binding. The request did not run in any of these cases, for it has
-// not been sent to an agent yet.
+// Errors of Binder.Bind. In all of these cases the request did not run, since it
+// had not been sent to an agent yet.
 const (
 	ErrPlatform = errors.ConstError("platform unavailable, key not bound")
 	ErrPageFull = errors.ConstError("no room for more keys")
@@ -24,19 +24,21 @@
 // bindings.
 const PageCount = 256
 
+// pagePrefix begins the pages' names in the platform's store. It is part of the stored
+// format, too.
 const pagePrefix = "claims."
 
-// Config tunes a binder.
+// Config configures a Binder.
 type Config struct {
-	// BatchDelay is how long keys are gathered before a write.
+	// BatchDelay is how long keys are collected before a write.
 	BatchDelay time.Duration
-	// Retention is how long a binding stays.
+	// Retention is how long a binding is kept.
 	Retention time.Duration
-	// MaxWaiting bounds the keys that wait to be bound.
+	// MaxWaiting limits the keys that wait to be bound.
 	MaxWaiting int
-	// MaxTries bounds the writes of one page in one round.
+	// MaxTries limits the attempts to write one page for one batch.
 	MaxTries int
-	// CallTimeout bounds one platform call.
+	// CallTimeout limits the time of one platform call.
 	CallTimeout time.Duration
 }
 
@@ -84,7 +86,7 @@
 	}
 }
 
-// Run gathers and writes until ctx ends.
+// Run collects keys and writes pages until ctx ends.
 func (b *Binder) Run(ctx context.Context) {
 	for {
 		first, err := b.queue.Pop(ctx)
@@ -98,7 +100,7 @@
 		}
 		timer.Stop()
 		for number, batch := range b.collectBatches(first) {
-			// Pages are independent: a slow one must not hold up the others.
+			// Pages are independent: a slow one must not delay the others.
 			go b.bindPage(ctx, number, batch)
 		}
 	}
@@ -122,10 +124,12 @@
 
 // bindPage binds a batch of keys of one page.
 //
-// A write whose answer was lost is repeated under the same version condition,
-// as for plans: either copy that arrives binds the same tickets, and a
-// conflict leads to a read that shows who came first. Only a page that was read
-// or written with certainty gives answers.
+// When the outcome of a write is unknown, the page is read again. If the keys are not
+// in it, it is written again under the version condition of that read, which is the
+// same as before unless another entry has written, as for plans. Whichever copy
+// arrives binds the same tickets, and after a conflict the next read shows which
+// entry was first. Callers get answers only from a page that was read or written with
+// certainty.
 func (b *Binder) bindPage(ctx context.Context, number int, batch []bindRequest) {
 	var err error
 	for range b.cfg.MaxTries {
@@ -174,7 +178,8 @@
 	return p, err
 }
 
-// addUnbound adds the batch's keys that are not bound yet; false if there are none.
+// addUnbound binds the batch's keys that are not bound yet to their proposed
+// tickets, and reports whether there were any.
 func (b *Binder) addUnbound(p *page, batch []bindRequest) bool {
 	now := time.Now()
 	added := false
--- a/internal/coordination/idempotency/binder_test.go
+++ b/internal/coordination/idempotency/binder_test.go
@@ -14,7 +14,8 @@
 	"limpetwall/internal/transport/objectapi/standin"
 )
 
-// lossyStore fails writes as told: 'l' loses the answer, 'n' the request, 'd' is down.
+// lossyStore fails writes by its script, one letter for each: 'l' loses the response,
+// 'n' the request, 'd' means unavailable. Writes after its end succeed.
 type lossyStore struct {
 	*standin.Store
 	mu     sync.Mutex
@@ -40,7 +41,7 @@
 	return l.Store.Put(ctx, key, value, version)
 }
 
-// withBinders runs some withBinders on one platform inside a bubble.
+// withBinders calls test in a synctest bubble, with binders that share one platform.
 func withBinders(t *testing.T, script string, count int, test func(api *lossyStore, all []*Binder)) {
 	synctest.Test(t, func(t *testing.T) {
 		api := &lossyStore{Store: standin.New(), script: script}
@@ -58,10 +59,10 @@
 	})
 }
 
-// TestConcurrentBindsAgreeOnOneTicket binds the same keys through four entries at once, while
-// writes and answers are lost.
+// TestConcurrentBindsAgreeOnOneTicket binds the same keys through four entries at once,
+// while writes and their responses are lost.
 //
-// Every entry proposes its own ticket; all of them must be told the same one.
+// Every entry proposes a ticket of its own; all of them must get the same one.
 func TestConcurrentBindsAgreeOnOneTicket(t *testing.T) {
 	for _, script := range []string{"", "l", "n", "lnl", "nnl", "lll"} {
 		withBinders(t, script, 4, func(_ *lossyStore, all []*Binder) {
@@ -89,7 +90,7 @@
 			wg.Wait()
 			for k, tickets := range got {
 				if len(tickets) != 1 {
-					t.Errorf("script %q key %d is bound to %d tickets", script, k, len(tickets))
+					t.Errorf("script %q key %d: got %d different tickets, want 1", script, k, len(tickets))
 				}
 			}
 		})
@@ -104,7 +105,8 @@
 	})
 }
 
-// TestLookupDoesNotBind asks for a key with the zero ticket.
+// TestLookupDoesNotBind looks a key up with the zero ticket, twice before it is bound and
+// once after.
 func TestLookupDoesNotBind(t *testing.T) {
 	withBinders(t, "", 1, func(_ *lossyStore, all []*Binder) {
 		key := HashKey("c", "s", "k")
@@ -120,20 +122,21 @@
 	})
 }
 
-// TestBindingsExpire keeps a binding for its time and frees its room after it.
+// TestBindingsExpire checks that a binding is kept until its retention is over, and that
+// pruning removes it after that.
 func TestBindingsExpire(t *testing.T) {
 	withBinders(t, "", 1, func(_ *lossyStore, all []*Binder) {
 		key := HashKey("c", "s", "k")
 		all[0].Bind(context.Background(), key, Ticket{1, 1})
 		time.Sleep(DefaultConfig().Retention - time.Minute)
 		if got, _ := all[0].Bind(context.Background(), key, Ticket{2, 2}); got != (Ticket{1, 1}) {
-			t.Errorf("before its time: %v", got)
+			t.Errorf("before the retention is over: got ticket %v, want {1 1}", got)
 		}
 	})
 	p := page{bindings: map[Key]binding{{1}: {boundAt: 100}, {2}: {boundAt: 500}}}
 	p.prune(time.Unix(600, 0), 200*time.Second)
 	if len(p.bindings) != 1 {
-		t.Errorf("%d rows after pruning", len(p.bindings))
+		t.Errorf("got %d bindings after pruning, want 1", len(p.bindings))
 	}
 }
 
@@ -145,7 +148,7 @@
 		p.bindings[Key{0, byte(i >> 16), byte(i >> 8), byte(i)}] = binding{ticket: Ticket{1, uint64(i)}, boundAt: now}
 	}
 	if data := p.encode(); len(data) > objectapi.MaxValue {
-		t.Fatalf("a full page has %d bytes", len(data))
+		t.Fatalf("a full page has %d bytes, more than the platform's limit", len(data))
 	} else if _, err := api.Put(t.Context(), pageKey(0), data, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +160,7 @@
 		t.Errorf("%v", err)
 	}
 	if got, err := b.Bind(ctx, Key{0, 0, 0, 5}, Ticket{9, 9}); err != nil || got != (Ticket{1, 5}) {
-		t.Errorf("a bound key on a full page: %v %v", got, err)
+		t.Errorf("bound key on a full page: got ticket %v and error %v, want {1 5}", got, err)
 	}
 }
 
@@ -167,7 +170,7 @@
 		seen[HashKey(fields[0], fields[1], fields[2])] = true
 	}
 	if len(seen) != 5 {
-		t.Errorf("%d different keys of 5", len(seen))
+		t.Errorf("got %d different keys, want 5", len(seen))
 	}
 }
 
@@ -177,7 +180,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		p, err := decodePage(data)
 		if err == nil && len(p.encode()) > len(data) {
-			t.Error("a page grew")
+			t.Error("the encoded page is longer than the data it was decoded from")
 		}
 	})
 }
--- a/internal/coordination/idempotency/page.go
+++ b/internal/coordination/idempotency/page.go
@@ -1,11 +1,11 @@
-// Package idempotency binds callers' own idempotency keys to tickets, in the
-// platform's object API. The binding only says which agent incarnation holds
-// the one record of a key; at-most-once itself rests on that record.
+// Package idempotency binds callers' own idempotency keys to tickets, in objects
+// of the platform's store. A binding only says which agent incarnation holds the
+// single record of a key; the at-most-once guarantee rests on that record.
 //
-// Keys are spread over pages, one object each. An entry gathers the keys that
-// arrive within a few milliseconds and writes each page once, conditionally: of
-// two entries that bind one key at once, the second meets a conflict, reads the
-// page and finds the first one's ticket.
+// Keys are spread over pages, one object each. An entry collects the keys that
+// arrive within a few milliseconds and writes each page once, with a conditional
+// write: if two entries bind the same key at the same time, the second one gets a
+// version conflict, reads the page again and finds the first one's ticket.
 package idempotency
 
 import (
@@ -16,14 +16,14 @@
 	"github.com/juju/errors"
 )
 
-// KeySize is the length of a hashed key.
+// KeySize is the length of a hashed key in bytes.
 const KeySize = 16
 
 // Key is the hash of customer, service and the caller's key.
 type Key [KeySize]byte
 
-// HashKey hashes a caller's key. The parts are separated by their lengths, so
-// that no customer can form another's key.
+// HashKey hashes a caller's key together with its customer and service. Each field
+// is preceded by its length, so that no customer can form another's key.
 func HashKey(customer, service, key string) Key {
 	h := sha256.New()
 	for _, field := range []string{customer, service, key} {
@@ -35,26 +35,26 @@
 	return Key(h.Sum(nil)[:KeySize])
 }
 
-// Ticket names one permission to run, at one agent incarnation.
+// Ticket identifies one permission to run a request, at one agent incarnation.
 type Ticket struct {
 	Incarnation uint64
 	Sequence    uint64
 }
 
-// binding is one row of a page.
+// binding is the ticket that a key is bound to.
 type binding struct {
 	ticket Ticket
-	// boundAt is in Unix seconds, by the writer's clock.
+	// boundAt is in Unix seconds by the clock of the entry that bound the key.
 	boundAt uint32
 }
 
 const (
 	bindingSize = KeySize + 8 + 8 + 4
-	// maxBindings keeps a page below the platform's largest value.
+	// maxBindings keeps a page below the platform's size limit for a value.
 	maxBindings = 20_000
 )
 
-// ErrMalformed tells that a page's bytes are not whole rows.
+// ErrMalformed is returned when a page's length is not a multiple of bindingSize.
 const ErrMalformed = errors.ConstError("malformed claims page")
 
 type page struct {
@@ -90,8 +90,9 @@
 	return out
 }
 
-// prune drops the bindings older than keep. A caller that retries later than
-// that would run a second time; keep is a documented promise to callers.
+// prune removes the bindings older than retention. A request that is retried later
+// than that would run a second time; the retention is a documented promise to
+// callers.
 func (p page) prune(now time.Time, retention time.Duration) {
 	oldest := now.Add(-retention).Unix()
 	for key, b := range p.bindings {
