--- a/internal/coordination/errorbudget/errorbudget.go
+++ b/internal/coordination/errorbudget/errorbudget.go
@@ -1,6 +1,6 @@
 // Package errorbudget measures how fast services use up their error budgets. Each
-// entry keeps, per customer and service, good and bad requests by the minute
-// and a histogram of times to first token; a report merges all entries.
+// entry records, per customer and service, good and bad requests by the minute
+// and a histogram of times to first token; a report merges those of all entries.
 package errorbudget
 
 import (
@@ -13,23 +13,24 @@
 	"github.com/juju/errors"
 )
 
-// ErrMalformed tells that a peer's snapshot does not decode.
-const ErrMalformed = errors.ConstError("malformed burn snapshot")
+// ErrMalformed is returned when a peer's snapshot cannot be decoded or merged.
+const ErrMalformed = errors.ConstError("malformed error budget snapshot")
 
-// Windows of the report, shortest first.
+// Windows are the periods that a report covers, shortest first.
 var Windows = []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour}
 
 const (
 	retainedMinutes = 6 * 60
-	// Histograms cover 0.1 ms to two minutes, in units of 0.1 ms, to 2 digits.
+	// Histograms cover 0.1 ms to two minutes, in units of 0.1 ms, to 2 significant
+	// digits.
 	histogramUnit   = 100 * time.Microsecond
 	histogramMax    = int64(2 * time.Minute / histogramUnit)
 	histogramDigits = 2
-	// maxSeries bounds the customer and service pairs an entry keeps.
+	// maxSeries limits the pairs of customer and service that an entry records.
 	maxSeries = 5_000
 )
 
-// Key names one series.
+// Key identifies a series.
 type Key struct {
 	Customer string `json:"customer"`
 	Service  string `json:"service"`
@@ -47,30 +48,31 @@
 	ttft    *hdrhistogram.Histogram
 }
 
-// Recorder keeps the series of one entry.
+// Recorder holds the series of one entry; safe for concurrent use.
 type Recorder struct {
 	mu      sync.Mutex
 	series  map[Key]*series
 	skipped int64
 }
 
-// NewRecorder returns an empty book.
+// NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder { return &Recorder{series: map[Key]*series{}} }
 
 // Observation is the outcome of one request.
 type Observation struct {
 	Key
-	// Target share and TTFT objective in force.
+	// Target is the share of requests that must be good, TTFTMS the objective for
+	// the time to first token; both as in force for this request.
 	Target float64
 	TTFTMS int
-	// TTFT is the time to first token; meaningless if Failed.
+	// TTFT is the time to first token; ignored if Failed is set.
 	TTFT time.Duration
 	// Failed marks requests that the system did not serve.
 	Failed bool
 	At     time.Time
 }
 
-// Observe adds a request's outcome.
+// Observe records a request's outcome.
 func (r *Recorder) Observe(o Observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +108,7 @@
 	Bad  int64 `json:"bad"`
 }
 
-// Series is the transported form of a series.
+// Series is the form in which entries exchange a series.
 type Series struct {
 	Key
 	Target  float64                `json:"target"`
@@ -115,13 +117,14 @@
 	TTFT    *hdrhistogram.Snapshot `json:"ttft"`
 }
 
-// Snapshot is the transported form of a book.
+// Snapshot is the form in which entries exchange what they have recorded.
 type Snapshot struct {
 	Series  []Series `json:"series"`
 	Skipped int64    `json:"skipped"`
 }
 
-// Snapshot returns the book's content within the longest window.
+// Snapshot returns the minutes within the longest window, and histograms of all
+// requests recorded.
 func (r *Recorder) Snapshot(now time.Time) Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,14 +159,15 @@
 	}
 	for _, series := range s.Series {
 		if !hasSameLayout(series.TTFT) {
-			return Snapshot{}, errors.Annotate(ErrMalformed, "another histogram layout")
+			return Snapshot{}, errors.Annotate(ErrMalformed, "unsupported histogram layout")
 		}
 	}
 	return s, nil
 }
 
-// hasSameLayout guards the merge: the library panics on a histogram of other bounds,
-// and one process of another version would take every reporting entry down.
+// hasSameLayout reports whether h can be merged with this process's histograms. The
+// library panics on a histogram with other bounds: a single process of another version
+// would crash every entry that makes a report.
 func hasSameLayout(h *hdrhistogram.Snapshot) bool {
 	if h == nil {
 		return true
@@ -173,8 +177,8 @@
 		h.SignificantFigures == own.SignificantFigures && len(h.Counts) == len(own.Counts)
 }
 
-// Window is one window of a row. Rate 1 uses up the budget exactly over the
-// objective's period; 14 in an hour is the usual page.
+// Window is one window of a row. At rate 1 the budget is used up exactly over the
+// objective's period; a rate of 14 within an hour is the usual threshold for paging.
 type Window struct {
 	Length string  `json:"length"`
 	Good   int64   `json:"good"`
@@ -202,7 +206,8 @@
 	// Missing lists entries that did not answer: their requests are not counted.
 	Missing []string `json:"missing"`
 	Rows    []Row    `json:"rows"`
-	// Skipped counts requests of series beyond the bound.
+	// Skipped counts requests that were not recorded because their entry already had
+	// its maximum of series.
 	Skipped int64 `json:"skipped"`
 }
 
--- a/internal/coordination/errorbudget/errorbudget_test.go
+++ b/internal/coordination/errorbudget/errorbudget_test.go
@@ -18,7 +18,7 @@
 	})
 }
 
-// encodeAndDecode sends a snapshot as entries do.
+// encodeAndDecode returns a recorder's snapshot as another entry receives it.
 func encodeAndDecode(t *testing.T, r *errorbudget.Recorder) errorbudget.Snapshot {
 	t.Helper()
 	data, err := json.Marshal(r.Snapshot(now))
@@ -32,7 +32,7 @@
 	return s
 }
 
-// TestReportMergesEntries books good, slow and failed requests at two entries.
+// TestReportMergesEntries records good, slow and failed requests at two entries.
 func TestReportMergesEntries(t *testing.T) {
 	first, second := errorbudget.NewRecorder(), errorbudget.NewRecorder()
 	for range 90 {
@@ -60,11 +60,11 @@
 	for _, w := range row.Windows {
 		expected := want[w.Length]
 		if w.Good != expected.good || w.Bad != expected.bad || math.Abs(w.Rate-expected.rate) > 1e-9 {
-			t.Errorf("%+v, want %+v", w, expected)
+			t.Errorf("got window %+v, want %+v", w, expected)
 		}
 	}
 	if row.P50MS < 99 || row.P50MS > 102 || row.P99MS < 980 || row.P99MS > 1020 {
-		t.Errorf("p50 %g p99 %g", row.P50MS, row.P99MS)
+		t.Errorf("got p50 %g ms and p99 %g ms, want 99 to 102 and 980 to 1020", row.P50MS, row.P99MS)
 	}
 	var html strings.Builder
 	if err := errorbudget.WriteHTML(&html, r); err != nil {
@@ -72,7 +72,7 @@
 	}
 	for _, text := range []string{"entry-3", "<td>c</td>", "burn 5m0s", "<svg", `class="warm"`, "</html>"} {
 		if !strings.Contains(html.String(), text) {
-			t.Errorf("no %q in the page", text)
+			t.Errorf("the page does not contain %q", text)
 		}
 	}
 }
--- a/internal/coordination/errorbudget/html.go
+++ b/internal/coordination/errorbudget/html.go
@@ -12,7 +12,7 @@
 const (
 	plotWidth   = 360
 	plotHeight  = 48
-	plotMinutes = 60 // minutes
+	plotMinutes = 60
 )
 
 var reportTemplate = template.Must(template.New("burn").Funcs(template.FuncMap{"plot": plot, "class": rateClass}).Parse(`<!doctype html>
@@ -45,7 +45,7 @@
 	return ""
 }
 
-// plot draws requests a minute as bars.
+// plot draws requests per minute as an SVG bar chart.
 func plot(minutes []Minute, now int64) template.HTML {
 	maxTotal := int64(1)
 	for _, m := range minutes {
