--- a/internal/coordination/leasenotice/broadcaster.go
+++ b/internal/coordination/leasenotice/broadcaster.go
@@ -1,9 +1,9 @@
-// Package leasenotice carries what the holder of a lease has written to the platform's store
-// to the processes that would otherwise read it there. Where a hundred processes looked
-// four times a second while engines load weights, their looks were half of all calls to
-// the store; a datagram is there sooner and costs the store nothing. A lost one is
-// followed by the next, and who hears nothing reads the store: nothing that must hold
-// rests on notices.
+// Package leasenotice sends what the holder of a lease has written to the platform's store
+// to the processes that would otherwise poll the store for it. When a hundred processes
+// polled four times a second while engines loaded weights, their reads were half of all
+// calls to the store; a datagram arrives sooner and costs the store nothing. A lost notice
+// is made up for by the next one, and a process that receives none reads the store, so
+// correctness does not depend on notices.
 package leasenotice
 
 import (
@@ -23,15 +23,16 @@
 	"limpetwall/internal/transport/datagram"
 )
 
-// maxValueSize bounds what a notice may inflate to, in bytes. Deflated, the ids of about 140
-// engines fit a datagram.
+// maxValueSize limits the decompressed size of a notice's value, in bytes. Compressed, the
+// IDs of about 140 engines fit in a datagram.
 const maxValueSize = 64 << 10
 
-// errTooLarge tells that a value does not fit a notice.
-const errTooLarge = errors.ConstError("value does not fit a datagram")
+// errTooLarge is returned when a value does not fit in a datagram, or is longer than
+// maxValueSize when it is decompressed.
+const errTooLarge = errors.ConstError("value of lease notice is too large")
 
-// Broadcaster sends notices to the other processes and receives theirs. Its fields are set
-// before Run.
+// Broadcaster sends lease notices to the other processes and receives theirs. Its fields
+// must be set before Run.
 type Broadcaster struct {
 	Group *datagram.Group
 	// Hosts lists the other processes.
@@ -41,26 +42,27 @@
 	Log      *zap.Logger
 
 	mu sync.Mutex
-	// lastSent is the version last lastSent.
+	// lastSent is the highest version announced.
 	lastSent int64
 }
 
-// Announce sends a version of the lease's object to all others, once.
+// Announce sends a version of the lease's object to all other processes. It skips a
+// version that is not newer than the last one announced.
 func (b *Broadcaster) Announce(version int64, value []byte) {
 	if !b.markSent(version) {
 		return
 	}
 	data, err := encode(version, value)
 	if err != nil {
-		b.Log.Warn("lease notice is not sent", zap.Int64("version", version), zap.Int("bytes", len(value)), zap.Error(err))
+		b.Log.Warn("cannot encode lease notice; it is not sent", zap.Int64("version", version), zap.Int("bytes", len(value)), zap.Error(err))
 		return
 	}
 	hosts := b.Hosts()
 	failed := b.Group.Send(data, hosts)
-	b.Log.Debug("lease notice", zap.Int64("version", version), zap.Int("hosts", len(hosts)), zap.Int("not_sent", failed))
+	b.Log.Debug("lease notice sent", zap.Int64("version", version), zap.Int("hosts", len(hosts)), zap.Int("not_sent", failed))
 }
 
-// markSent tells whether a version is to be sent; a later call with it says no.
+// markSent records version as announced, and reports whether it is newer than all before.
 func (b *Broadcaster) markSent(version int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,12 +73,12 @@
 	return true
 }
 
-// Run takes in notices until ctx ends.
+// Run receives notices until ctx ends.
 func (b *Broadcaster) Run(ctx context.Context) {
 	b.Group.Receive(ctx, func(data []byte, from net.Addr) {
 		version, value, err := decode(data)
 		if err != nil {
-			b.Log.Warn("lease notice does not decode", zap.Stringer("from", from), zap.Int("bytes", len(data)), zap.Error(err))
+			b.Log.Warn("cannot decode lease notice", zap.Stringer("from", from), zap.Int("bytes", len(data)), zap.Error(err))
 			return
 		}
 		b.OnNotice(version, value)
--- a/internal/coordination/leasenotice/broadcaster_test.go
+++ b/internal/coordination/leasenotice/broadcaster_test.go
@@ -19,7 +19,8 @@
 	value   string
 }
 
-// startBroadcaster starts a caster on an address of the loopback network.
+// startBroadcaster runs a broadcaster on a loopback address, and returns the notices that it
+// receives.
 func startBroadcaster(t *testing.T, host string, port uint16, others ...string) (*Broadcaster, chan notice) {
 	t.Helper()
 	group, err := datagram.Listen(netip.AddrPortFrom(netip.MustParseAddr(host), port))
@@ -57,16 +58,16 @@
 	case got := <-received:
 		return got
 	case <-time.After(5 * time.Second):
-		t.Fatal("no notice came")
+		t.Fatal("no notice received within 5s")
 		return notice{}
 	}
 }
 
-// TestNoticesReachAllPeersOnce sends two versions, one of them twice; bytes that are no notice
-// come between.
+// TestNoticesReachAllPeersOnce announces two versions, the first one twice, with a datagram
+// that is not a notice in between.
 //
-// Each version comes once: the holder's step is repeated whether or not it wrote anew. What
-// does not decode changes nothing, whoever sends it.
+// Each version must arrive once: the holder announces at each step, whether or not it has
+// written again. A datagram that does not decode must change nothing, whoever sends it.
 func TestNoticesReachAllPeersOnce(t *testing.T) {
 	a, _ := startBroadcaster(t, "127.0.0.41", 0, "127.0.0.42", "127.0.0.43")
 	_, receivedB := startBroadcaster(t, "127.0.0.42", a.Group.Port)
@@ -77,28 +78,28 @@
 	a.Announce(8, []byte(`{"holder":"a","sequence":2}`))
 	for _, received := range []chan notice{receivedB, receivedC} {
 		if got := receive(t, received); got != (notice{7, `{"holder":"a"}`}) {
-			t.Errorf("first notice %+v", got)
+			t.Errorf("first notice: got %+v, want version 7", got)
 		}
 		if got := receive(t, received); got != (notice{8, `{"holder":"a","sequence":2}`}) {
-			t.Errorf("second notice %+v", got)
+			t.Errorf("second notice: got %+v, want version 8", got)
 		}
 	}
 }
 
-// TestNoticeSizeIsBounded encodes values that do not fit, and decodes one that inflates to more
-// than any value has: a notice must not take a process's memory.
+// TestNoticeSizeIsBounded encodes a value that does not fit in a datagram, and decodes one
+// that inflates beyond the limit: a notice must not use up a process's memory.
 func TestNoticeSizeIsBounded(t *testing.T) {
 	random := make([]byte, datagram.MaxSize)
 	rand.Read(random)
 	if _, err := encode(1, []byte(hex.EncodeToString(random))); err == nil {
-		t.Error("a value that does not fit was encoded")
+		t.Error("a value that does not fit in a datagram was encoded")
 	}
 	data, err := encode(1, bytes.Repeat([]byte("a"), maxValueSize+1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := decode(data); err == nil {
-		t.Error("a notice that inflates beyond the bound was decoded")
+		t.Error("a notice that inflates beyond the limit was decoded")
 	}
 	if _, _, err := decode(nil); err == nil {
 		t.Error("a notice without a version was decoded")
@@ -114,7 +115,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		version, value, err := decode(data)
 		if err == nil && (version <= 0 || len(value) > maxValueSize) {
-			t.Errorf("version %d with %d bytes", version, len(value))
+			t.Errorf("decoded version %d with %d bytes, want a version above 0 within the size limit", version, len(value))
 		}
 	})
 }
