--- a/internal/coordination/discovery/addressconflict.go
+++ b/internal/coordination/discovery/addressconflict.go
@@ -6,88 +6,88 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// lives tells apart the instances that are listed with one address: the endpoint that has
+// addressConflicts tells apart the instances that are listed with one address: the endpoint that has
 // it now, and entries of those before it. A crashed one's entry stays for seconds, longer if
 // the store is away; and one that was on its way when the endpoint was cut off comes after
 // the new one's, with a higher revision. Used in place of the new one, it would keep a sound
 // endpoint idle until its entry next changes, which may be never, and without new weights.
-type lives struct {
-	// first is the revision at which each id was first listed.
-	first map[string]uint64
+type addressConflicts struct {
+	// firstSeen is the revision at which each id was firstSeen listed.
+	firstSeen map[string]uint64
 	// waiting are entries whose address another instance is believed to have.
 	waiting map[string]Instance
 }
 
-// keptFirst bounds the ids remembered: a day's restarts of a thousand endpoints.
-const keptFirst = 16_384
+// maxFirstSeen bounds the ids remembered: a day's restarts of a thousand endpoints.
+const maxFirstSeen = 16_384
 
-// see notes an entry of an instance.
-func (l *lives) see(i Instance) {
-	if _, seen := l.first[i.ID]; seen {
+// observe notes an entry of an instance.
+func (c *addressConflicts) observe(i Instance) {
+	if _, seen := c.firstSeen[i.ID]; seen {
 		return
 	}
-	if len(l.first) >= keptFirst {
-		clear(l.first)
+	if len(c.firstSeen) >= maxFirstSeen {
+		clear(c.firstSeen)
 	}
-	l.first[i.ID] = i.Revision
+	c.firstSeen[i.ID] = i.Revision
 }
 
-// later tells whether a began after b, both at one address. A life begins after the one
+// isLater tells whether a began after b, both at one address. A life begins after the one
 // before it has ended, so it is also listed first after that was; where they tell their
 // starts, these decide.
-func (l *lives) later(a, b Instance) bool {
+func (c *addressConflicts) isLater(a, b Instance) bool {
 	if a.Born != 0 && b.Born != 0 && a.Born != b.Born {
 		return a.Born > b.Born
 	}
-	return l.first[a.ID] > l.first[b.ID]
+	return c.firstSeen[a.ID] > c.firstSeen[b.ID]
 }
 
-// waitingAt finds the latest entry that waits for an address.
-func (l *lives) waitingAt(address string) (Instance, bool) {
+// latestWaiting finds the latest entry that waits for an address.
+func (c *addressConflicts) latestWaiting(address string) (Instance, bool) {
 	var best Instance
-	for _, i := range l.waiting {
-		if i.Address == address && (best.ID == "" || l.later(i, best)) {
+	for _, i := range c.waiting {
+		if i.Address == address && (best.ID == "" || c.isLater(i, best)) {
 			best = i
 		}
 	}
 	return best, best.ID != ""
 }
 
-// takeAddress decides which instance has a new one's address; false tells that another has
+// claimAddress decides which instance has a new one's address; false tells that another has
 // it, and the new one waits. An entry that lapsed before does not wait: its endpoint is
 // gone. s.mu is held.
-func (s *State) takeAddress(i Instance) bool {
-	s.lives.see(i)
-	delete(s.lives.waiting, i.ID)
+func (s *State) claimAddress(i Instance) bool {
+	s.conflicts.observe(i)
+	delete(s.conflicts.waiting, i.ID)
 	for _, other := range s.instances {
 		if other.Address != i.Address || i.Address == "" || other.ID == i.ID {
 			continue
 		}
-		if s.lives.later(other.Instance, i) {
-			s.lives.waiting[i.ID] = i
+		if s.conflicts.isLater(other.Instance, i) {
+			s.conflicts.waiting[i.ID] = i
 			return false
 		}
 		s.Log.Info("endpoint restarted", zap.String("endpoint", i.ID), zap.String("before", other.ID), zap.String("address", i.Address))
 		if other.removedAt.IsZero() {
-			s.lives.waiting[other.ID] = other.Instance
+			s.conflicts.waiting[other.ID] = other.Instance
 		}
-		s.take(other)
+		s.markDead(other)
 	}
 	return true
 }
 
-// drop takes an instance out of use; one that waited for its address is used then.
-func (s *State) drop(k *known) {
-	s.take(k)
-	if next, ok := s.lives.waitingAt(k.Address); ok {
+// removeInstance takes an instance out of use; one that waited for its address is used then.
+func (s *State) removeInstance(k *knownInstance) {
+	s.markDead(k)
+	if next, ok := s.conflicts.latestWaiting(k.Address); ok {
 		s.setInstance(next)
 	}
 }
 
-// take takes an instance out of use.
-func (s *State) take(k *known) {
+// markDead takes an instance out of use.
+func (s *State) markDead(k *knownInstance) {
 	delete(s.instances, k.ID)
-	s.put(k, fleet.Dead)
+	s.writeRow(k, fleet.Dead)
 }
 
 // MarkMisdirected records that another instance answers at an instance's address. An entry
@@ -100,13 +100,13 @@
 	if !ok {
 		return
 	}
-	next, ok := s.lives.waitingAt(k.Address)
+	next, ok := s.conflicts.latestWaiting(k.Address)
 	if !ok {
 		return
 	}
 	s.Log.Info("endpoint is not at its address", zap.String("endpoint", id), zap.String("other", next.ID), zap.String("address", k.Address))
-	s.lives.first[id] = 0
-	s.lives.waiting[id] = k.Instance
-	s.take(k)
+	s.conflicts.firstSeen[id] = 0
+	s.conflicts.waiting[id] = k.Instance
+	s.markDead(k)
 	s.setInstance(next)
 }
--- a/internal/coordination/discovery/feed_test.go
+++ b/internal/coordination/discovery/feed_test.go
@@ -51,7 +51,7 @@
 		f.objects[kind] = map[string]objectapi.Record{}
 	}
 	f.objects[kind][name] = r
-	f.tell(kind, objectapi.Event{Record: r})
+	f.publish(kind, objectapi.Event{Record: r})
 	return f.revision
 }
 
@@ -62,10 +62,10 @@
 	r := f.objects[kind][name]
 	r.Revision = f.revision
 	delete(f.objects[kind], name)
-	f.tell(kind, objectapi.Event{Record: r, Removed: true})
+	f.publish(kind, objectapi.Event{Record: r, Removed: true})
 }
 
-func (f *fakeFeed) tell(kind string, e objectapi.Event) {
+func (f *fakeFeed) publish(kind string, e objectapi.Event) {
 	f.history = append(f.history, struct {
 		kind  string
 		event objectapi.Event
@@ -74,13 +74,13 @@
 	f.changed = make(chan struct{})
 }
 
-func (f *fakeFeed) set(change func()) {
+func (f *fakeFeed) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-func (f *fakeFeed) begin(ctx context.Context, kind string) error {
+func (f *fakeFeed) beginCall(ctx context.Context, kind string) error {
 	f.mu.Lock()
 	f.calls++
 	silent, refuse := f.silent, f.refuse || f.refusedKind == kind
@@ -96,7 +96,7 @@
 }
 
 func (f *fakeFeed) ListKind(ctx context.Context, kind string) ([]objectapi.Record, uint64, error) {
-	if err := f.begin(ctx, kind); err != nil {
+	if err := f.beginCall(ctx, kind); err != nil {
 		return nil, 0, err
 	}
 	f.mu.Lock()
@@ -109,11 +109,11 @@
 }
 
 func (f *fakeFeed) WatchKind(ctx context.Context, kind string, since uint64, wait time.Duration) ([]objectapi.Event, uint64, error) {
-	if err := f.begin(ctx, kind); err != nil {
+	if err := f.beginCall(ctx, kind); err != nil {
 		return nil, since, err
 	}
-	end := time.NewTimer(wait)
-	defer end.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
 		f.mu.Lock()
 		if since < f.oldest {
@@ -133,7 +133,7 @@
 		}
 		select {
 		case <-changed:
-		case <-end.C:
+		case <-timeout.C:
 			return nil, revision, nil
 		case <-ctx.Done():
 			return nil, since, errors.WithType(ctx.Err(), objectapi.ErrUnavailable)
@@ -161,16 +161,16 @@
 	return n, json.Unmarshal(r.Spec, &n.Version)
 }
 
-// follow runs a watcher over a feed for the length of a test.
-func follow(t *testing.T, feed *fakeFeed) (*State, *Watcher) {
-	return followBy(t, feed, func(*Watcher) {})
+// startWatcher runs a watcher over a feed for the length of a test.
+func startWatcher(t *testing.T, feed *fakeFeed) (*State, *Watcher) {
+	return startWatcherWith(t, feed, func(*Watcher) {})
 }
 
-// followBy does so with a watcher that is changed before it runs.
-func followBy(t *testing.T, feed *fakeFeed, change func(*Watcher)) (*State, *Watcher) {
+// startWatcherWith does so with a watcher that is changed before it runs.
+func startWatcherWith(t *testing.T, feed *fakeFeed, configure func(*Watcher)) (*State, *Watcher) {
 	state := NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 	w := &Watcher{Feed: feed, Decoder: fakeDecoder{}, Kinds: kinds, State: state, Log: zap.NewNop(), Wait: 2 * time.Second}
-	change(w)
+	configure(w)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -184,7 +184,7 @@
 	return state, w
 }
 
-func usable(s *State) int {
+func countAlive(s *State) int {
 	n := 0
 	for _, m := range s.Table.Members() {
 		if m.ID != "self" && m.State == fleet.Alive {
--- a/internal/coordination/discovery/restart_test.go
+++ b/internal/coordination/discovery/restart_test.go
@@ -12,57 +12,57 @@
 	"limpetwall/internal/state/routes"
 )
 
-func quietState() *State {
+func newState() *State {
 	return NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 }
 
-// engine is an entry of the endpoint "i".
-func engine(born int64, revision uint64, weights, orders int64) Instance {
+// engineInstance is an entry of the endpoint "i".
+func engineInstance(born int64, revision uint64, weights, orders int64) Instance {
 	return Instance{ID: "i", Born: born, Revision: revision, Service: "s", Address: "10.0.0.1:1", Model: "m", Weights: weights, Orders: orders}
 }
 
-// TestStartsUnderOneID lets an endpoint start again under its id, with word of both starts
+// TestRestartUnderSameID lets an endpoint start again under its id, with word of both starts
 // arriving in different orders.
 //
 // What is believed must be the later start's, wherever it was told first: an order that
 // expects the number of orders of the earlier one is void, and callers' requests counted
 // there have ended.
-func TestStartsUnderOneID(t *testing.T) {
+func TestRestartUnderSameID(t *testing.T) {
 	rows := []struct {
 		name         string
-		tell         func(*State)
+		observe      func(*State)
 		born         int64
 		weights      int64
 		orders       int64
 		loading, new bool
 	}{
 		{"one start", func(*State) {}, 100, 2, 4, true, false},
-		{"its next entry", func(s *State) { s.SetInstance(engine(100, 6, 2, 5)) }, 100, 2, 5, true, false},
-		{"a new start with fewer orders", func(s *State) { s.SetInstance(engine(200, 6, 2, 0)) }, 200, 2, 0, false, true},
-		{"a new start with older weights", func(s *State) { s.SetInstance(engine(200, 6, 1, 0)) }, 200, 1, 0, false, true},
+		{"its next entry", func(s *State) { s.SetInstance(engineInstance(100, 6, 2, 5)) }, 100, 2, 5, true, false},
+		{"a new start with fewer orders", func(s *State) { s.SetInstance(engineInstance(200, 6, 2, 0)) }, 200, 2, 0, false, true},
+		{"a new start with older weights", func(s *State) { s.SetInstance(engineInstance(200, 6, 1, 0)) }, 200, 1, 0, false, true},
 		{"an entry of the earlier start that was written late", func(s *State) {
-			s.SetInstance(engine(200, 6, 2, 0))
-			s.SetInstance(engine(100, 7, 2, 9))
+			s.SetInstance(engineInstance(200, 6, 2, 0))
+			s.SetInstance(engineInstance(100, 7, 2, 9))
 		}, 200, 2, 0, false, true},
 		{"a report before the entry", func(s *State) { s.ObserveStart("i", 200, 2) }, 200, 2, 0, false, true},
 		{"a report, then the earlier start's entry", func(s *State) {
 			s.ObserveStart("i", 200, 2)
-			s.SetInstance(engine(100, 6, 2, 5))
+			s.SetInstance(engineInstance(100, 6, 2, 5))
 		}, 200, 2, 0, false, true},
 		{"a report of the earlier start that arrives late", func(s *State) {
-			s.SetInstance(engine(200, 6, 1, 0))
+			s.SetInstance(engineInstance(200, 6, 1, 0))
 			s.ObserveStart("i", 100, 3)
 		}, 200, 1, 0, false, true},
 		{"word from its address", func(s *State) { s.ObserveStartByAddress("10.0.0.1:1", 200) }, 200, 2, 0, false, true},
 		{"word from another address", func(s *State) { s.ObserveStartByAddress("10.0.0.2:1", 200) }, 100, 2, 4, true, false},
-		{"an entry that tells no start", func(s *State) { s.SetInstance(engine(0, 6, 2, 5)) }, 100, 2, 5, true, false},
+		{"an entry that tells no start", func(s *State) { s.SetInstance(engineInstance(0, 6, 2, 5)) }, 100, 2, 5, true, false},
 	}
 	for _, row := range rows {
-		s := quietState()
-		s.SetInstance(engine(100, 5, 2, 4))
+		s := newState()
+		s.SetInstance(engineInstance(100, 5, 2, 4))
 		s.SetLoading("i", true)
 		before, _ := s.Table.Get("i")
-		row.tell(s)
+		row.observe(s)
 		i, ok := s.Instance("i")
 		if !ok || i.Born != row.born || i.Weights != row.weights || i.Orders != row.orders || s.IsLoading("i") != row.loading {
 			t.Errorf("%s: %+v, loading %v", row.name, i, s.IsLoading("i"))
@@ -74,22 +74,22 @@
 	}
 }
 
-// TestAnyOrderOfWordOfStarts tells of some starts of an endpoint by entries and reports in
+// TestStartsObservedInAnyOrder tells of some starts of an endpoint by entries and reports in
 // any order.
 //
 // The start believed never goes back, and is the latest told of; the count of orders is
 // never an earlier start's.
-func TestAnyOrderOfWordOfStarts(t *testing.T) {
+func TestStartsObservedInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := quietState()
+		s := newState()
 		latest, revision := int64(0), uint64(0)
-		s.SetInstance(engine(1, revision, 1, 1))
+		s.SetInstance(engineInstance(1, revision, 1, 1))
 		for range rapid.IntRange(1, 20).Draw(t, "words") {
 			born := rapid.Int64Range(1, 5).Draw(t, "born")
 			if rapid.Bool().Draw(t, "entry") {
 				revision++
 				// Orders of a start are told apart by a multiple of its number.
-				s.SetInstance(engine(born, revision, 1, born*100))
+				s.SetInstance(engineInstance(born, revision, 1, born*100))
 			} else {
 				s.ObserveStart("i", born, 1)
 			}
@@ -116,16 +116,16 @@
 		feed.put("config", "main", 1)
 		feed.put("servers", "i-1", false)
 		feed.put("servers", "i-2", false)
-		state, _ := follow(t, feed)
+		state, _ := startWatcher(t, feed)
 		time.Sleep(time.Second)
 		feed.put("servers", "i-1", "no entry")
 		time.Sleep(time.Second)
-		if n := usable(state); n != 1 {
+		if n := countAlive(state); n != 1 {
 			t.Errorf("%d endpoints are used beside a foreign entry", n)
 		}
 		feed.put("servers", "i-1", false)
 		time.Sleep(time.Second)
-		if n := usable(state); n != 2 {
+		if n := countAlive(state); n != 2 {
 			t.Errorf("%d endpoints are used after the endpoint's own entry", n)
 		}
 		state.SetInstance(Instance{ID: "odd", Revision: 99, Service: "unheard of", Address: "10.9.9.9:1", Model: "m"})
--- a/internal/coordination/discovery/state.go
+++ b/internal/coordination/discovery/state.go
@@ -58,44 +58,44 @@
 	// answer a request that was sent before; 0 sets no limit.
 	BeginWithin time.Duration
 
-	routes  atomic.Pointer[routes.Table]
-	onTable func(*routes.Table)
-
-	mu        sync.Mutex
-	instances map[string]*known
-	lives     lives
-	named     map[string]TargetWeights
-	renamed   chan struct{}
-	version   uint64
-	listed    bool
+	routes   atomic.Pointer[routes.Table]
+	onRoutes func(*routes.Table)
+
+	mu            sync.Mutex
+	instances     map[string]*knownInstance
+	conflicts     addressConflicts
+	targets       map[string]TargetWeights
+	targetChanged chan struct{}
+	rowVersion    uint64
+	listed        bool
 }
 
-type known struct {
+type knownInstance struct {
 	Instance
 	// loading is set while an order is carried out, outdated once its weights must not
 	// be used any more.
 	loading, outdated bool
-	// emptying is closed once the endpoint should be rid of its runs.
-	emptying chan struct{}
+	// draining is closed once the endpoint should be rid of its runs.
+	draining chan struct{}
 	// removedAt is when the entry was found missing, zero while it is listed.
 	removedAt time.Time
 }
 
 // NewState returns a state that knows nothing. onTable is called with each
 // routing table that comes in force.
-func NewState(self fleet.Member, log *zap.Logger, now time.Time, onTable func(*routes.Table)) *State {
+func NewState(self fleet.Member, log *zap.Logger, now time.Time, onRoutes func(*routes.Table)) *State {
 	cfg := fleet.DefaultConfig()
-	cfg.KeepDead = keepGone
+	cfg.KeepDead = goneRetention
 	return &State{
-		Table: fleet.NewTable(cfg, self, now), Services: config.NewStore(), Log: log, Now: time.Now, onTable: onTable,
-		instances: map[string]*known{}, lives: lives{first: map[string]uint64{}, waiting: map[string]Instance{}},
-		named: map[string]TargetWeights{}, renamed: make(chan struct{}),
+		Table: fleet.NewTable(cfg, self, now), Services: config.NewStore(), Log: log, Now: time.Now, onRoutes: onRoutes,
+		instances: map[string]*knownInstance{}, conflicts: addressConflicts{firstSeen: map[string]uint64{}, waiting: map[string]Instance{}},
+		targets: map[string]TargetWeights{}, targetChanged: make(chan struct{}),
 	}
 }
 
-// keepGone is how long a gone instance's row is kept, so that requests still
+// goneRetention is how long a gone instance's row is kept, so that requests still
 // underway find it.
-const keepGone = 30 * time.Second
+const goneRetention = 30 * time.Second
 
 // Routes is the routing table in force, nil before the first.
 func (s *State) Routes() *routes.Table { return s.routes.Load() }
@@ -120,7 +120,7 @@
 		zap.Int("services", len(t.Services)))
 	s.publishServices(t)
 	s.routes.Store(t)
-	s.onTable(t)
+	s.onRoutes(t)
 }
 
 // intentSpec and serviceSpec are the documents' forms; see config.Intent.
@@ -207,10 +207,10 @@
 		return
 	}
 	if !ok {
-		if !s.takeAddress(i) {
+		if !s.claimAddress(i) {
 			return
 		}
-		k = &known{emptying: make(chan struct{})}
+		k = &knownInstance{draining: make(chan struct{})}
 		s.instances[i.ID] = k
 	}
 	if i.Born == 0 {
@@ -218,28 +218,28 @@
 	}
 	restarted := ok && i.Born != k.Born
 	if restarted {
-		s.restart(k, i.Born)
+		s.recordRestart(k, i.Born)
 	} else if k.Weights > i.Weights {
 		// The list lags behind what the endpoint itself has said; weights of one
 		// start only grow.
 		i.Weights = k.Weights
 	}
-	back := !k.removedAt.IsZero()
-	changed := !ok || back || restarted || !sameRow(k.Instance, i)
+	reappeared := !k.removedAt.IsZero()
+	changed := !ok || reappeared || restarted || !isSameRow(k.Instance, i)
 	k.Instance, k.removedAt = i, time.Time{}
 	if changed {
-		s.put(k, stateOf(i))
-		if k.Weights < s.named[k.Model].Version {
-			s.wakeRollout()
+		s.writeRow(k, stateOf(i))
+		if k.Weights < s.targets[k.Model].Version {
+			s.notifyTargetChanged()
 		}
 		s.Log.Info("endpoint listed", zap.String("endpoint", i.ID), zap.String("service", i.Service), zap.String("address", i.Address),
 			zap.String("domain", i.Domain), zap.Bool("leaving", i.Leaving), zap.Int64("weights", i.Weights),
-			zap.Bool("back", back), zap.Uint64("revision", i.Revision))
+			zap.Bool("back", reappeared), zap.Uint64("revision", i.Revision))
 	}
 }
 
-// sameRow tells whether two entries of one start make the same row for decisions.
-func sameRow(a, b Instance) bool {
+// isSameRow tells whether two entries of one start make the same row for decisions.
+func isSameRow(a, b Instance) bool {
 	return a.Leaving == b.Leaving && a.Weights == b.Weights && a.Model == b.Model &&
 		a.Service == b.Service && a.Address == b.Address && a.Domain == b.Domain
 }
@@ -254,11 +254,11 @@
 	if !ok || born == 0 || born == k.Born || (fleet.Incarnation{ID: id, Born: born}).Before(k.Incarnation()) {
 		return
 	}
-	s.restart(k, born)
+	s.recordRestart(k, born)
 	if weights > 0 {
 		k.Weights = weights
 	}
-	s.put(k, stateOf(k.Instance))
+	s.writeRow(k, stateOf(k.Instance))
 }
 
 // ObserveStartByAddress is Started for an endpoint that is known by its address only.
@@ -270,9 +270,9 @@
 	}
 }
 
-// restart forgets what belonged to an instance's earlier start: its orders, and what it had
+// recordRestart forgets what belonged to an instance's earlier start: its orders, and what it had
 // underway. Its weights are those it had, unless it says otherwise.
-func (s *State) restart(k *known, born int64) {
+func (s *State) recordRestart(k *knownInstance, born int64) {
 	s.Log.Info("endpoint restarted under its id", zap.String("endpoint", k.ID), zap.Int64("born", born), zap.Int64("before", k.Born))
 	k.Born, k.Orders, k.loading = born, 0, false
 }
@@ -284,17 +284,17 @@
 	return fleet.Alive
 }
 
-// put writes an instance's row; each write has a higher version than the last.
-func (s *State) put(k *known, state fleet.State) {
-	s.version++
-	s.noteOutdated(k)
-	s.noteEmptying(k)
+// writeRow writes an instance's row; each write has a higher version than the last.
+func (s *State) writeRow(k *knownInstance, state fleet.State) {
+	s.rowVersion++
+	s.updateOutdated(k)
+	s.updateDraining(k)
 	kind := fleet.KindPlain
 	if k.Model != "" {
 		kind = fleet.KindEngine
 	}
 	s.Table.Learn(fleet.Member{
-		ID: k.ID, Incarnation: k.Incarnation().Hash(), Version: s.version, State: state,
+		ID: k.ID, Incarnation: k.Incarnation().Hash(), Version: s.rowVersion, State: state,
 		Address: k.Address, Host: k.Address, Domain: k.Domain, Role: fleet.RoleAgent,
 		Endpoint: fleet.Endpoint{
 			ID: k.ID, Kind: kind, Labels: map[string]string{ServiceLabel: k.Service}, Model: k.Model,
@@ -312,23 +312,23 @@
 	if !ok {
 		return nil
 	}
-	return k.emptying
+	return k.draining
 }
 
-// noteEmptying tells the runs of an endpoint that they should go elsewhere, once each time
+// updateDraining tells the runs of an endpoint that they should go elsewhere, once each time
 // that it begins to empty.
-func (s *State) noteEmptying(k *known) {
-	closed := false
+func (s *State) updateDraining(k *knownInstance) {
+	isDraining := false
 	select {
-	case <-k.emptying:
-		closed = true
+	case <-k.draining:
+		isDraining = true
 	default:
 	}
-	switch empty := k.loading || k.Leaving; {
-	case empty && !closed:
-		close(k.emptying)
-	case !empty && closed:
-		k.emptying = make(chan struct{})
+	switch shouldDrain := k.loading || k.Leaving; {
+	case shouldDrain && !isDraining:
+		close(k.draining)
+	case !shouldDrain && isDraining:
+		k.draining = make(chan struct{})
 	}
 }
 
@@ -341,37 +341,37 @@
 		return
 	}
 	k.loading = loading
-	s.put(k, stateOf(k.Instance))
+	s.writeRow(k, stateOf(k.Instance))
 }
 
 // Remove records that an instance's entry is gone. With lapsed the store has been
 // away shortly before: entries lapse then though their endpoints live, and come
 // back; only one that stays missing is gone.
-func (s *State) Remove(id string, lapsed bool, now time.Time) {
+func (s *State) Remove(id string, storeWasAway bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.lives.waiting, id)
+	delete(s.conflicts.waiting, id)
 	k, ok := s.instances[id]
 	if !ok || !k.removedAt.IsZero() {
 		return
 	}
 	k.removedAt = now
-	s.Log.Info("endpoint no longer listed", zap.String("endpoint", id), zap.Bool("store_was_away", lapsed))
-	if !lapsed {
-		s.drop(k)
+	s.Log.Info("endpoint no longer listed", zap.String("endpoint", id), zap.Bool("store_was_away", storeWasAway))
+	if !storeWasAway {
+		s.removeInstance(k)
 	}
 }
 
 // ReplaceInstances records a whole list; what it lacks is gone.
-func (s *State) ReplaceInstances(list []Instance, lapsed bool, now time.Time) {
+func (s *State) ReplaceInstances(list []Instance, storeWasAway bool, now time.Time) {
 	present := make(map[string]bool, len(list))
 	for _, i := range list {
 		present[i.ID] = true
 		s.SetInstance(i)
 	}
-	for _, id := range s.ids() {
+	for _, id := range s.knownIDs() {
 		if !present[id] {
-			s.Remove(id, lapsed, now)
+			s.Remove(id, storeWasAway, now)
 		}
 	}
 	s.mu.Lock()
@@ -379,35 +379,35 @@
 	s.mu.Unlock()
 }
 
-// ids lists all instances: of services that are not named, and those that wait for their
+// knownIDs lists all instances: of services that are not named, and those that wait for their
 // address too.
-func (s *State) ids() []string {
+func (s *State) knownIDs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Concat(slices.Sorted(maps.Keys(s.instances)), slices.Sorted(maps.Keys(s.lives.waiting)))
+	return slices.Concat(slices.Sorted(maps.Keys(s.instances)), slices.Sorted(maps.Keys(s.conflicts.waiting)))
 }
 
 // goneAt is the time from which a lapsed entry that has not come back counts as gone. returned is
 // when the store was last heard of endpoints again.
-func (k *known) goneAt(returned time.Time) time.Time {
-	if k.removedAt.Sub(returned) >= lapsedFor {
+func (k *knownInstance) goneAt(recovered time.Time) time.Time {
+	if k.removedAt.Sub(recovered) >= reappearWindow {
 		// The store had answered for endpoints for longer when the entry went: only other kinds failed.
-		return k.removedAt.Add(lapsedFor)
+		return k.removedAt.Add(reappearWindow)
 	}
-	until := returned.Add(lapsedFor)
-	if late := k.removedAt.Add(lapseMargin); late.After(until) {
+	until := recovered.Add(reappearWindow)
+	if late := k.removedAt.Add(reappearMargin); late.After(until) {
 		return late
 	}
 	return until
 }
 
 // Expire drops the instances whose entries lapsed and did not come back.
-func (s *State) Expire(now, returned time.Time) {
+func (s *State) Expire(now, recovered time.Time) {
 	s.mu.Lock()
 	for _, k := range s.instances {
-		if !k.removedAt.IsZero() && !now.Before(k.goneAt(returned)) {
+		if !k.removedAt.IsZero() && !now.Before(k.goneAt(recovered)) {
 			s.Log.Info("endpoint is gone", zap.String("endpoint", k.ID))
-			s.drop(k)
+			s.removeInstance(k)
 		}
 	}
 	s.mu.Unlock()
--- a/internal/coordination/discovery/watch_rate_test.go
+++ b/internal/coordination/discovery/watch_rate_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// TestCrowdOfChangesCostsFewCalls starts 100 endpoints within two seconds.
+// TestBurstOfChangesNeedsFewCalls starts 100 endpoints within two seconds.
 //
 // The first is known at once and the last within the pause between two watches; each
 // change alone would cost a call, in every process of the fleet.
-func TestCrowdOfChangesCostsFewCalls(t *testing.T) {
+func TestBurstOfChangesNeedsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
-		state, _ := follow(t, feed)
+		state, _ := startWatcher(t, feed)
 		time.Sleep(2 * time.Second)
-		feed.set(func() { feed.calls = 0 })
+		feed.update(func() { feed.calls = 0 })
 		const endpoints, every = 100, 20 * time.Millisecond
 		for n := range endpoints {
 			feed.put("servers", fmt.Sprint("i", n), false)
@@ -25,13 +25,13 @@
 				t.Error("the first change is not known at once")
 			}
 		}
-		time.Sleep(watchEvery)
+		time.Sleep(minWatchInterval)
 		if got := len(state.Instances()); got != endpoints {
 			t.Errorf("%d of %d endpoints are known", got, endpoints)
 		}
 		var calls int
-		feed.set(func() { calls = feed.calls })
-		if most := int(endpoints*every/watchEvery) + quickWatches + 6; calls > most {
+		feed.update(func() { calls = feed.calls })
+		if most := int(endpoints*every/minWatchInterval) + watchBurst + 6; calls > most {
 			t.Errorf("%d calls to the store, at most %d", calls, most)
 		}
 	})
@@ -45,24 +45,24 @@
 func TestLargeFleetWatchesLess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
-		state, w := followBy(t, feed, func(w *Watcher) { w.Processes = func() int { return 100 } })
+		state, w := startWatcherWith(t, feed, func(w *Watcher) { w.Processes = func() int { return 100 } })
 		time.Sleep(10 * time.Second)
-		feed.set(func() { feed.calls = 0 })
+		feed.update(func() { feed.calls = 0 })
 		const endpoints, every = 500, 20 * time.Millisecond
 		for n := range endpoints {
 			feed.put("servers", fmt.Sprint("i", n), false)
 			time.Sleep(every)
 		}
-		time.Sleep(slowestWatch)
+		time.Sleep(maxWatchInterval)
 		if got := len(state.Instances()); got != endpoints {
 			t.Errorf("%d of %d endpoints are known", got, endpoints)
 		}
 		var calls int
-		feed.set(func() { calls = feed.calls })
+		feed.update(func() { calls = feed.calls })
 		// The configuration and the weights are watched meanwhile, without changes.
-		length := endpoints*every + slowestWatch
+		length := endpoints*every + maxWatchInterval
 		others := 2 * (int(length/w.Wait) + 1)
-		if most := int(length/slowestWatch) + quickWatches + others; calls > most {
+		if most := int(length/maxWatchInterval) + watchBurst + others; calls > most {
 			t.Errorf("%d calls to the store, at most %d", calls, most)
 		}
 	})
--- a/internal/coordination/discovery/watcher.go
+++ b/internal/coordination/discovery/watcher.go
@@ -34,36 +34,36 @@
 	callMargin = 700 * time.Millisecond
 	// listTimeout bounds one list.
 	listTimeout = 2 * time.Second
-	// watchEvery is the shortest time between the beginnings of two watches of a kind,
+	// minWatchInterval is the shortest time between the beginnings of two watches of a kind,
 	// but for quickWatches of them. Changes come in crowds: 55 starting or loading
 	// endpoints otherwise cost every process 55 calls within seconds, 940 before 370
 	// processes a third of a million. A few changes are still known at once.
-	watchEvery   = 250 * time.Millisecond
-	quickWatches = 4
-	// fleetWatch is the mean time between the beginnings of all processes' watches of a kind
+	minWatchInterval = 250 * time.Millisecond
+	watchBurst       = 4
+	// fleetWatchInterval is the mean time between the beginnings of all processes' watches of a kind
 	// in such a crowd, and slowestWatch bounds a process's own pause for it. While 180 engines
 	// load, their entries change all the time, and a hundred processes that watched every
 	// watchEvery made 400 calls a second. What must be known soonest, that an endpoint
 	// leaves, has seconds.
-	fleetWatch   = 10 * time.Millisecond
-	slowestWatch = time.Second
-	// retryFirst and retryMost bound the pause after a failed call. The store prices
+	fleetWatchInterval = 10 * time.Millisecond
+	maxWatchInterval   = time.Second
+	// minRetryDelay and retryMost bound the pause after a failed call. The store prices
 	// refused calls too, but a configuration must be in force within seconds of its
 	// return.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
-	// silentPause follows a call for endpoints that got no answer at all: the call has waited itself. With a longer one
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 800 * time.Millisecond
+	// silentRetryDelay follows a call for endpoints that got no answer at all: the call has waited itself. With a longer one
 	// a process that was cut off uses endpoints which left meanwhile, until
 	// lapsedFor after it hears of them, longer than it may act on old knowledge.
-	silentPause = 50 * time.Millisecond
+	silentRetryDelay = 50 * time.Millisecond
 	// probeWait is how long a watch waits after a failed one. The sooner a call that
 	// found the store silent gives up, the sooner one finds it back.
 	probeWait = 100 * time.Millisecond
-	// lapsedFor is the time after the store's return in which lapsed entries of
+	// reappearWindow is the time after the store's return in which lapsed entries of
 	// living endpoints come back, as the platform promises.
-	lapsedFor = 2 * time.Second
-	// lapseMargin is added for the way of the entry's return through the store.
-	lapseMargin = 300 * time.Millisecond
+	reappearWindow = 2 * time.Second
+	// reappearMargin is added for the way of the entry's return through the store.
+	reappearMargin = 300 * time.Millisecond
 )
 
 // Watcher follows the store's kinds, one duty each.
@@ -85,34 +85,34 @@
 	Clock func() time.Time
 
 	mu sync.Mutex
-	// back is closed when the store answers one kind after a failure.
-	back chan struct{}
+	// recovered is closed when the store answers one kind after a failure.
+	recovered chan struct{}
 	// failing counts the duties whose last call failed; returned is when the store
 	// last answered after a failure, heard when it last answered at all.
-	failing  map[string]bool
-	returned time.Time
-	heard    time.Time
-	// entriesReturned is when the store last answered for endpoints after a failure.
-	entriesReturned time.Time
-	// configAsked is when the last answered call for the configuration began.
-	configAsked time.Time
+	failing     map[string]bool
+	recoveredAt time.Time
+	lastAnswer  time.Time
+	// instancesRecoveredAt is when the store last answered for endpoints after a failure.
+	instancesRecoveredAt time.Time
+	// configAsOf is when the last answered call for the configuration began.
+	configAsOf time.Time
 }
 
 // Run follows all kinds until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
-	var duties sync.WaitGroup
+	var loops sync.WaitGroup
 	for _, kind := range []string{w.Kinds.Config, w.Kinds.Instances, w.Kinds.Weights} {
-		duties.Go(func() { w.follow(ctx, kind) })
+		loops.Go(func() { w.followKind(ctx, kind) })
 	}
-	duties.Go(func() { w.expire(ctx) })
-	duties.Wait()
+	loops.Go(func() { w.runExpiry(ctx) })
+	loops.Wait()
 }
 
 // AnswerAge is how long ago the store last answered; it is large before the first answer.
 func (w *Watcher) AnswerAge(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return now.Sub(w.heard)
+	return now.Sub(w.lastAnswer)
 }
 
 // ConfigAge is how long the configuration in force may have been replaced without this
@@ -122,7 +122,7 @@
 func (w *Watcher) ConfigAge() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.now().Sub(w.configAsked)
+	return w.now().Sub(w.configAsOf)
 }
 
 func (w *Watcher) now() time.Time {
@@ -139,40 +139,40 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.configAsked = began
+	w.configAsOf = began
 }
 
 // RecordAnswer records that the store has answered.
 func (w *Watcher) RecordAnswer(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.heard = now
+	w.lastAnswer = now
 }
 
-// follow lists a kind and then watches it. Only a list after a gap in history can
+// followKind lists a kind and then watches it. Only a list after a gap in history can
 // tell what was removed meanwhile.
-func (w *Watcher) follow(ctx context.Context, kind string) {
-	pause := retryFirst
+func (w *Watcher) followKind(ctx context.Context, kind string) {
+	delay := minRetryDelay
 	for ctx.Err() == nil {
 		revision, err := w.list(ctx, kind)
 		if err == nil {
-			pause = retryFirst
+			delay = minRetryDelay
 			err = w.watch(ctx, kind, revision)
 		}
-		w.note(kind, err)
+		w.recordOutcome(kind, err)
 		if errors.Is(err, objectapi.ErrCompacted) {
 			continue
 		}
-		if !w.pause(ctx, pause) {
+		if !w.waitToRetry(ctx, delay) {
 			return
 		}
-		pause = min(2*pause, retryMost)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// watchCall bounds the next watch of a kind. After a failure it is short, and ends
+// watchContext bounds the next watch of a kind. After a failure it is short, and ends
 // at once when another kind finds the store back: what it was sent on may be dead.
-func (w *Watcher) watchCall(ctx context.Context, kind string) (time.Duration, context.Context, context.CancelFunc) {
+func (w *Watcher) watchContext(ctx context.Context, kind string) (time.Duration, context.Context, context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.failing[kind] {
@@ -180,10 +180,10 @@
 		return w.Wait, call, cancel
 	}
 	call, cancel := context.WithTimeout(ctx, probeWait+callMargin)
-	back := w.backChannel()
+	recovered := w.recoveredChannel()
 	go func() {
 		select {
-		case <-back:
+		case <-recovered:
 			cancel()
 		case <-call.Done():
 		}
@@ -191,28 +191,28 @@
 	return probeWait, call, cancel
 }
 
-// backChannel is closed when the store is found back; w.mu is held.
-func (w *Watcher) backChannel() chan struct{} {
-	if w.back == nil {
-		w.back = make(chan struct{})
+// recoveredChannel is closed when the store is found back; w.mu is held.
+func (w *Watcher) recoveredChannel() chan struct{} {
+	if w.recovered == nil {
+		w.recovered = make(chan struct{})
 	}
-	return w.back
+	return w.recovered
 }
 
-// pause waits after a failed call, or until another kind finds the store back;
+// waitToRetry waits after a failed call, or until another kind finds the store back;
 // false means that ctx has ended.
-func (w *Watcher) pause(ctx context.Context, d time.Duration) bool {
+func (w *Watcher) waitToRetry(ctx context.Context, d time.Duration) bool {
 	if w.Reset != nil {
 		w.Reset()
 	}
 	w.mu.Lock()
-	back := w.backChannel()
+	recovered := w.recoveredChannel()
 	w.mu.Unlock()
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-back:
+	case <-recovered:
 	case <-ctx.Done():
 		return false
 	}
@@ -227,8 +227,8 @@
 	if err != nil {
 		return 0, err
 	}
-	w.note(kind, nil)
-	w.takeList(kind, records)
+	w.recordOutcome(kind, nil)
+	w.applyList(kind, records)
 	w.confirm(kind, began)
 	return revision, nil
 }
@@ -236,33 +236,33 @@
 // watch follows a kind until a call fails twice in a row: one lost answer loses
 // no history, and the next watch goes on from the same revision.
 func (w *Watcher) watch(ctx context.Context, kind string, revision uint64) error {
-	failed := retryFirst
-	quick := rate.NewLimiter(rate.Every(w.pace()), quickWatches)
-	for quick.Wait(ctx) == nil {
-		quick.SetLimit(rate.Every(w.pace()))
-		wait, call, cancel := w.watchCall(ctx, kind)
+	retryDelay := minRetryDelay
+	limiter := rate.NewLimiter(rate.Every(w.watchInterval()), watchBurst)
+	for limiter.Wait(ctx) == nil {
+		limiter.SetLimit(rate.Every(w.watchInterval()))
+		wait, call, cancel := w.watchContext(ctx, kind)
 		began := w.now()
 		events, next, err := w.Feed.WatchKind(call, kind, revision, wait)
 		cancel()
 		if errors.Is(err, objectapi.ErrCompacted) {
 			return err
 		}
-		w.note(kind, err)
+		w.recordOutcome(kind, err)
 		if err != nil {
-			rest := failed
+			delay := retryDelay
 			if kind == w.Kinds.Instances && w.now().Sub(began) >= probeWait+callMargin {
-				rest = silentPause
+				delay = silentRetryDelay
 			} else {
-				failed = min(2*failed, retryMost)
+				retryDelay = min(2*retryDelay, maxRetryDelay)
 			}
-			if !w.pause(ctx, rest) {
+			if !w.waitToRetry(ctx, delay) {
 				return ctx.Err()
 			}
 			continue
 		}
-		failed = retryFirst
+		retryDelay = minRetryDelay
 		for _, e := range events {
-			w.takeEvent(kind, e)
+			w.applyEvent(kind, e)
 		}
 		revision = next
 		w.confirm(kind, began)
@@ -270,17 +270,17 @@
 	return ctx.Err()
 }
 
-// pace is the shortest time between the beginnings of two watches of a kind, but for the
+// watchInterval is the shortest time between the beginnings of two watches of a kind, but for the
 // first few.
-func (w *Watcher) pace() time.Duration {
+func (w *Watcher) watchInterval() time.Duration {
 	if w.Processes == nil {
-		return watchEvery
+		return minWatchInterval
 	}
-	return min(max(watchEvery, time.Duration(w.Processes())*fleetWatch), slowestWatch)
+	return min(max(minWatchInterval, time.Duration(w.Processes())*fleetWatchInterval), maxWatchInterval)
 }
 
-// note records whether the store answers, and logs each loss and return once.
-func (w *Watcher) note(kind string, err error) {
+// recordOutcome records whether the store answers, and logs each loss and return once.
+func (w *Watcher) recordOutcome(kind string, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.failing == nil {
@@ -290,24 +290,24 @@
 	now := time.Now()
 	switch {
 	case answered && w.failing[kind]:
-		w.returned = now
+		w.recoveredAt = now
 		if kind == w.Kinds.Instances {
-			w.entriesReturned = now
+			w.instancesRecoveredAt = now
 		}
-		close(w.backChannel())
-		w.back = nil
+		close(w.recoveredChannel())
+		w.recovered = nil
 		w.Log.Info("store answers again", zap.String("kind", kind))
 	case !answered && !w.failing[kind]:
 		w.Log.Warn("store does not answer", zap.String("kind", kind), zap.Error(err))
 	}
 	w.failing[kind] = !answered
 	if answered {
-		w.heard = now
+		w.lastAnswer = now
 	}
 }
 
-// storeWasAway tells whether entries may have lapsed though their endpoints live.
-func (w *Watcher) storeWasAway(now time.Time) bool {
+// wasStoreAway tells whether entries may have lapsed though their endpoints live.
+func (w *Watcher) wasStoreAway(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, failing := range w.failing {
@@ -315,13 +315,13 @@
 			return true
 		}
 	}
-	return !w.returned.IsZero() && now.Sub(w.returned) < lapsedFor
+	return !w.recoveredAt.IsZero() && now.Sub(w.recoveredAt) < reappearWindow
 }
 
-func (w *Watcher) takeList(kind string, records []objectapi.Record) {
+func (w *Watcher) applyList(kind string, records []objectapi.Record) {
 	if kind != w.Kinds.Instances {
 		for _, r := range records {
-			w.takeEvent(kind, objectapi.Event{Record: r})
+			w.applyEvent(kind, objectapi.Event{Record: r})
 		}
 		return
 	}
@@ -334,18 +334,18 @@
 		}
 	}
 	now := time.Now()
-	w.State.ReplaceInstances(list, w.storeWasAway(now), now)
+	w.State.ReplaceInstances(list, w.wasStoreAway(now), now)
 }
 
-func (w *Watcher) takeEvent(kind string, e objectapi.Event) {
+func (w *Watcher) applyEvent(kind string, e objectapi.Event) {
 	var err error
 	switch kind {
 	case w.Kinds.Config:
-		err = w.takeConfig(e)
+		err = w.applyConfig(e)
 	case w.Kinds.Instances:
-		err = w.takeInstance(e)
+		err = w.applyInstance(e)
 	case w.Kinds.Weights:
-		err = w.takeWeights(e)
+		err = w.applyWeights(e)
 	}
 	if err != nil {
 		w.Log.Error("object does not decode", zap.String("kind", kind), zap.String("name", e.Name),
@@ -353,7 +353,7 @@
 	}
 }
 
-func (w *Watcher) takeConfig(e objectapi.Event) error {
+func (w *Watcher) applyConfig(e objectapi.Event) error {
 	if e.Removed || e.Name != w.Kinds.MainConfig {
 		return nil
 	}
@@ -365,10 +365,10 @@
 	return nil
 }
 
-func (w *Watcher) takeInstance(e objectapi.Event) error {
+func (w *Watcher) applyInstance(e objectapi.Event) error {
 	if e.Removed {
 		now := time.Now()
-		w.State.Remove(e.Name, w.storeWasAway(now), now)
+		w.State.Remove(e.Name, w.wasStoreAway(now), now)
 		return nil
 	}
 	i, err := w.Decoder.Instance(e.Record)
@@ -382,7 +382,7 @@
 	return nil
 }
 
-func (w *Watcher) takeWeights(e objectapi.Event) error {
+func (w *Watcher) applyWeights(e objectapi.Event) error {
 	if e.Removed {
 		return nil
 	}
@@ -394,22 +394,22 @@
 	return nil
 }
 
-// entriesReturnedAt is when the store could last be heard of endpoints again; false if it can't be.
+// instancesReachableSince is when the store could last be heard of endpoints again; false if it can't be.
 //
 // Other kinds don't count: their calls may find the store back seconds later, and lapsed entries
 // that stayed in use for as long would get requests after their endpoints have drained.
-func (w *Watcher) entriesReturnedAt() (time.Time, bool) {
+func (w *Watcher) instancesReachableSince() (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.entriesReturned, !w.failing[w.Kinds.Instances]
+	return w.instancesRecoveredAt, !w.failing[w.Kinds.Instances]
 }
 
-// expire takes lapsed entries for gone once they have stayed missing.
-func (w *Watcher) expire(ctx context.Context) {
-	const every = 100 * time.Millisecond
-	for pause.For(ctx, every) {
-		if returned, back := w.entriesReturnedAt(); back {
-			w.State.Expire(time.Now(), returned)
+// runExpiry takes lapsed entries for gone once they have stayed missing.
+func (w *Watcher) runExpiry(ctx context.Context) {
+	const interval = 100 * time.Millisecond
+	for pause.For(ctx, interval) {
+		if recovered, reachable := w.instancesReachableSince(); reachable {
+			w.State.Expire(time.Now(), recovered)
 		}
 	}
 }
--- a/internal/coordination/discovery/watcher_test.go
+++ b/internal/coordination/discovery/watcher_test.go
@@ -15,10 +15,10 @@
 
 var kinds = Kinds{Config: "config", Instances: "servers", Weights: "versions", MainConfig: "main"}
 
-func TestWhatIsWrittenIsKnown(t *testing.T) {
+func TestWatcherAppliesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
-		state, _ := follow(t, feed)
+		state, _ := startWatcher(t, feed)
 		time.Sleep(time.Second)
 		if state.Ready() {
 			t.Error("ready without a configuration")
@@ -28,35 +28,35 @@
 		feed.put("servers", "i-1", false)
 		feed.put("versions", "m", 2)
 		time.Sleep(10 * time.Millisecond)
-		if !state.Ready() || state.Routes().Version != 3 || usable(state) != 1 || state.TargetVersion("m") != 2 {
-			t.Errorf("%v %+v %d %d", state.Ready(), state.Routes(), usable(state), state.TargetVersion("m"))
+		if !state.Ready() || state.Routes().Version != 3 || countAlive(state) != 1 || state.TargetVersion("m") != 2 {
+			t.Errorf("%v %+v %d %d", state.Ready(), state.Routes(), countAlive(state), state.TargetVersion("m"))
 		}
 		feed.put("servers", "i-1", true)
 		time.Sleep(10 * time.Millisecond)
-		if usable(state) != 0 {
+		if countAlive(state) != 0 {
 			t.Error("a leaving endpoint is still used")
 		}
 	})
 }
 
-// TestSilentStoreIsFoundBack lets the store fall silent for a minute and changes
+// TestWatcherRecoversFromSilentStore lets the store fall silent for a minute and changes
 // the configuration just before it answers again.
 //
 // Callers must be served by the new configuration within 2 s of the return, though
 // every call that began before it never ends by itself.
-func TestSilentStoreIsFoundBack(t *testing.T) {
+func TestWatcherRecoversFromSilentStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
 		feed.put("config", "main", 1)
-		state, w := follow(t, feed)
+		state, w := startWatcher(t, feed)
 		time.Sleep(time.Second)
-		feed.set(func() { feed.silent = true })
+		feed.update(func() { feed.silent = true })
 		time.Sleep(time.Minute)
 		if age := w.AnswerAge(time.Now()); age < 50*time.Second {
 			t.Errorf("the store counts as heard %s ago", age)
 		}
 		feed.put("config", "main", 2)
-		feed.set(func() { feed.silent = false })
+		feed.update(func() { feed.silent = false })
 		time.Sleep(1900 * time.Millisecond)
 		if state.Routes().Version != 2 {
 			t.Errorf("version %d is in force", state.Routes().Version)
@@ -74,21 +74,21 @@
 		feed := newFakeFeed()
 		feed.put("config", "main", 1)
 		var pause atomic.Int64
-		_, w := followBy(t, feed, func(w *Watcher) {
+		_, w := startWatcherWith(t, feed, func(w *Watcher) {
 			w.Clock = func() time.Time { return time.Now().Add(time.Duration(pause.Load())) }
 		})
 		time.Sleep(10 * time.Second)
 		// The last answered watch began two waits ago when the next one is about to end.
-		if age := w.ConfigAge(); age > 2*w.Wait+watchEvery {
+		if age := w.ConfigAge(); age > 2*w.Wait+minWatchInterval {
 			t.Errorf("%s old while the store answers", age)
 		}
-		feed.set(func() { feed.silent = true })
+		feed.update(func() { feed.silent = true })
 		time.Sleep(10 * time.Second)
 		w.RecordAnswer(time.Now())
 		if age := w.ConfigAge(); age < 10*time.Second {
 			t.Errorf("%s old after 10 s of silence", age)
 		}
-		feed.set(func() { feed.silent = false })
+		feed.update(func() { feed.silent = false })
 		time.Sleep(2 * time.Second)
 		if age := w.ConfigAge(); age > 2*time.Second {
 			t.Errorf("%s old after the store's return", age)
@@ -101,46 +101,46 @@
 	})
 }
 
-// TestRefusingStoreIsNotPressed counts the calls during ten seconds of refusals.
-func TestRefusingStoreIsNotPressed(t *testing.T) {
+// TestCallRateWhileStoreRefuses counts the calls during ten seconds of refusals.
+func TestCallRateWhileStoreRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
-		feed.set(func() { feed.refuse = true })
-		follow(t, feed)
+		feed.update(func() { feed.refuse = true })
+		startWatcher(t, feed)
 		time.Sleep(10 * time.Second)
 		calls := 0
-		feed.set(func() { calls = feed.calls })
+		feed.update(func() { calls = feed.calls })
 		if calls > 3*20 {
 			t.Errorf("%d calls in 10 s", calls)
 		}
 	})
 }
 
-// TestHistoryIsGone drops the history while an endpoint leaves.
+// TestRemovalInCompactedHistory drops the history while an endpoint leaves.
 //
 // No event tells of it; only the list that follows does, by what it lacks.
-func TestHistoryIsGone(t *testing.T) {
+func TestRemovalInCompactedHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
 		feed.put("config", "main", 1)
 		feed.put("servers", "i-1", false)
 		feed.put("servers", "i-2", false)
-		state, _ := follow(t, feed)
+		state, _ := startWatcher(t, feed)
 		time.Sleep(time.Second)
-		feed.set(func() {
+		feed.update(func() {
 			delete(feed.objects["servers"], "i-1")
 			feed.revision += 10
 			feed.history, feed.oldest = nil, feed.revision
 		})
 		time.Sleep(3 * time.Second)
-		if usable(state) != 1 {
-			t.Errorf("%d endpoints are used", usable(state))
+		if countAlive(state) != 1 {
+			t.Errorf("%d endpoints are used", countAlive(state))
 		}
 	})
 }
 
-// TestConfigurationNeverGoesBack shows an older configuration after a newer one.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// TestSetRoutesIgnoresOlderConfig shows an older configuration after a newer one.
+func TestSetRoutesIgnoresOlderConfig(t *testing.T) {
 	state := NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 	for _, c := range []struct{ version, revision, want uint64 }{{5, 10, 5}, {4, 11, 5}, {6, 9, 5}, {7, 12, 7}, {7, 12, 7}} {
 		state.SetRoutes(routes.New(c.version, c.revision, nil, nil, nil, routes.Limits{}))
@@ -150,19 +150,19 @@
 	}
 }
 
-// TestRestartSupersedes restarts an endpoint at its address, as a crash does: its old
+// TestRestartAtSameAddress restarts an endpoint at its address, as a crash does: its old
 // entry stays for seconds, longer if the store is away meanwhile.
 //
 // What is sent to the life before is rejected, and a caller whose attempts all meet such
 // entries is refused though the endpoints are idle. Only the newest life is used, in
 // whatever order the entries are read.
-func TestRestartSupersedes(t *testing.T) {
+func TestRestartAtSameAddress(t *testing.T) {
 	old := Instance{ID: "old", Revision: 5, Service: "s", Address: "10.0.0.1:1"}
 	restarted := Instance{ID: "new", Revision: 9, Service: "s", Address: "10.0.0.1:1"}
 	other := Instance{ID: "other", Revision: 7, Service: "s", Address: "10.0.0.2:1"}
 	rows := []struct {
-		name string
-		play func(s *State, now time.Time)
+		name  string
+		apply func(s *State, now time.Time)
 	}{
 		{"the entry is still there", func(s *State, _ time.Time) { s.SetInstance(old); s.SetInstance(restarted) }},
 		{"the new one is read first", func(s *State, _ time.Time) { s.SetInstance(restarted); s.SetInstance(old) }},
@@ -215,7 +215,7 @@
 	for _, row := range rows {
 		s := NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 		s.SetInstance(other)
-		row.play(s, time.Now())
+		row.apply(s, time.Now())
 		var ids []string
 		for _, i := range s.Instances() {
 			ids = append(ids, i.ID)
@@ -245,7 +245,7 @@
 	}
 }
 
-func TestBehind(t *testing.T) {
+func TestEndpointsBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 		state.SetInstance(Instance{ID: "a", Model: "m", Weights: 1})
@@ -271,33 +271,33 @@
 // A process that started later learns from others how long they have been replaced.
 func TestReplacedWeightsAreRetired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		open := func() *State {
+		newStateWithWeights := func() *State {
 			s := NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 			s.RetireAfter = 8 * time.Second
 			s.SetInstance(Instance{ID: "a", Service: "s", Model: "m", Weights: 1})
 			s.SetTarget(TargetWeights{Model: "m", Version: 2})
 			return s
 		}
-		used := func(s *State, id string) bool {
+		isUsed := func(s *State, id string) bool {
 			m, ok := s.Table.Get(id)
 			return ok && !m.Endpoint.Loading
 		}
-		first := open()
+		first := newStateWithWeights()
 		time.Sleep(5 * time.Second)
-		second := open()
+		second := newStateWithWeights()
 		second.MergeVersionAges(first.VersionAges())
 		time.Sleep(3500 * time.Millisecond)
 		for i, s := range []*State{first, second} {
 			s.RetireOutdated()
-			if used(s, "a") {
+			if isUsed(s, "a") {
 				t.Errorf("state %d: replaced weights are used after their time", i)
 			}
 			s.SetInstance(Instance{ID: "b", Service: "s", Model: "m", Weights: 1})
-			if used(s, "b") {
+			if isUsed(s, "b") {
 				t.Errorf("state %d: an endpoint that comes with replaced weights is used", i)
 			}
 			s.ObserveWeights("a", 2)
-			if !used(s, "a") {
+			if !isUsed(s, "a") {
 				t.Errorf("state %d: not used with the new weights", i)
 			}
 			if s.IsLoading("a") {
--- a/internal/coordination/discovery/weights.go
+++ b/internal/coordination/discovery/weights.go
@@ -13,37 +13,37 @@
 	Model    string
 	Version  int64
 	Revision uint64
-	// since holds when this process learned of each version that may still be missing
+	// learned holds when this process learned of each version that may still be missing
 	// somewhere, oldest first.
-	since []namedAt
+	learned []learnedVersion
 }
 
-type namedAt struct {
+type learnedVersion struct {
 	version int64
 	at      time.Time
 }
 
-// keptVersions bounds the versions remembered for a model.
-const keptVersions = 16
+// maxLearnedVersions bounds the versions remembered for a model.
+const maxLearnedVersions = 16
 
 // SetTarget records the version of a model that operators ask for; versions grow.
 func (s *State) SetTarget(n TargetWeights) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n.Version <= s.named[n.Model].Version {
+	if n.Version <= s.targets[n.Model].Version {
 		return
 	}
-	n.since = append(s.named[n.Model].since, namedAt{n.Version, s.Now()})
-	n.since = n.since[max(0, len(n.since)-keptVersions):]
-	s.named[n.Model] = n
-	s.wakeRollout()
+	n.learned = append(s.targets[n.Model].learned, learnedVersion{n.Version, s.Now()})
+	n.learned = n.learned[max(0, len(n.learned)-maxLearnedVersions):]
+	s.targets[n.Model] = n
+	s.notifyTargetChanged()
 	s.Log.Info("weights named", zap.String("model", n.Model), zap.Int64("version", n.Version), zap.Uint64("revision", n.Revision))
 }
 
-// wakeRollout tells that there is something to order; s.mu is held.
-func (s *State) wakeRollout() {
-	close(s.renamed)
-	s.renamed = make(chan struct{})
+// notifyTargetChanged tells that there is something to order; s.mu is held.
+func (s *State) notifyTargetChanged() {
+	close(s.targetChanged)
+	s.targetChanged = make(chan struct{})
 }
 
 // TargetChanged returns a channel that is closed when other weights are named, or
@@ -51,15 +51,15 @@
 func (s *State) TargetChanged() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.renamed
+	return s.targetChanged
 }
 
 // Targets lists the versions asked for, by model.
 func (s *State) Targets() []TargetWeights {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]TargetWeights, 0, len(s.named))
-	for _, n := range s.named {
+	out := make([]TargetWeights, 0, len(s.targets))
+	for _, n := range s.targets {
 		out = append(out, n)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Model < out[b].Model })
@@ -71,7 +71,7 @@
 func (s *State) EndpointsBehind(model string) (endpoints int, since time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.named[model]
+	n := s.targets[model]
 	oldest := n.Version
 	for _, k := range s.instances {
 		if k.Model == model && !k.Leaving && k.Weights < n.Version {
@@ -79,12 +79,12 @@
 			oldest = min(oldest, k.Weights)
 		}
 	}
-	return endpoints, n.sinceAfter(oldest)
+	return endpoints, n.learnedAfter(oldest)
 }
 
-// sinceAfter is when the first version above another was named.
-func (n TargetWeights) sinceAfter(version int64) time.Time {
-	for _, v := range n.since {
+// learnedAfter is when the first version above another was named.
+func (n TargetWeights) learnedAfter(version int64) time.Time {
+	for _, v := range n.learned {
 		if v.version > version {
 			return v.at
 		}
@@ -106,8 +106,8 @@
 	defer s.mu.Unlock()
 	var out []VersionAge
 	now := s.Now()
-	for _, n := range s.named {
-		for _, v := range n.since {
+	for _, n := range s.targets {
+		for _, v := range n.learned {
 			out = append(out, VersionAge{n.Model, v.version, now.Sub(v.at).Milliseconds()})
 		}
 	}
@@ -125,7 +125,7 @@
 	defer s.mu.Unlock()
 	now := s.Now()
 	for _, a := range ages {
-		since := s.named[a.Model].since
+		since := s.targets[a.Model].learned
 		for i := range since {
 			at := now.Add(-time.Duration(a.AgeMS) * time.Millisecond)
 			if since[i].version == a.Version && at.Before(since[i].at) {
@@ -143,13 +143,13 @@
 	defer s.mu.Unlock()
 	for _, k := range s.instances {
 		if s.isOutdated(k) != k.outdated {
-			s.put(k, stateOf(k.Instance))
+			s.writeRow(k, stateOf(k.Instance))
 		}
 	}
 }
 
-func (s *State) isOutdated(k *known) bool {
-	since := s.named[k.Model].sinceAfter(k.Weights)
+func (s *State) isOutdated(k *knownInstance) bool {
+	since := s.targets[k.Model].learnedAfter(k.Weights)
 	return s.RetireAfter > 0 && k.Model != "" && !since.IsZero() && s.Now().Sub(since) > s.RetireAfter
 }
 
@@ -162,17 +162,17 @@
 	if !ok || s.BeginWithin == 0 {
 		return 0, false
 	}
-	since := s.named[k.Model].sinceAfter(k.Weights)
+	since := s.targets[k.Model].learnedAfter(k.Weights)
 	if since.IsZero() {
 		return 0, false
 	}
 	return s.BeginWithin - s.Now().Sub(since), true
 }
 
-// noteOutdated keeps and logs whether an endpoint's weights may be used. Each
+// updateOutdated keeps and logs whether an endpoint's weights may be used. Each
 // write of its row asks anew: an endpoint may come back with weights that were
 // replaced long ago.
-func (s *State) noteOutdated(k *known) {
+func (s *State) updateOutdated(k *knownInstance) {
 	if outdated := s.isOutdated(k); outdated != k.outdated {
 		k.outdated = outdated
 		s.Log.Info("endpoint's weights", zap.String("endpoint", k.ID), zap.Int64("weights", k.Weights), zap.Bool("outdated", outdated))
@@ -185,7 +185,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k, ok := s.instances[id]
-	if !ok || k.Weights >= s.named[k.Model].Version {
+	if !ok || k.Weights >= s.targets[k.Model].Version {
 		return nil
 	}
 	var next []string
@@ -210,7 +210,7 @@
 func (s *State) TargetVersion(model string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.named[model].Version
+	return s.targets[model].Version
 }
 
 // VersionName is the form in which decisions compare versions of weights.
@@ -231,5 +231,5 @@
 	}
 	s.Log.Info("endpoint has new weights", zap.String("endpoint", id), zap.Int64("weights", weights), zap.Int64("before", k.Weights))
 	k.Weights = weights
-	s.put(k, stateOf(k.Instance))
+	s.writeRow(k, stateOf(k.Instance))
 }
