--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -48,13 +48,13 @@
 	Note     json.RawMessage `json:"note,omitempty"`
 }
 
-// renewable is how long after its last renewal a holder renews; later it asks first
+// renewWindow is how long after its last renewal a holder renews; later it asks first
 // whether another has taken over.
-func (c Config) renewable() time.Duration { return c.Term - c.Term/margin }
+func (c Config) renewWindow() time.Duration { return c.Term - c.Term/marginDivisor }
 
-// margin is how much earlier than the others' a holder's own term ends: a call
+// marginDivisor is how much earlier than the others' a holder's own term ends: a call
 // that is on its way when it ends has landed or failed by then.
-const margin = 4
+const marginDivisor = 4
 
 // Lease is one process's view of a lease.
 type Lease struct {
@@ -64,26 +64,26 @@
 	mu sync.Mutex
 	// fence is the number this process holds the lease under, 0 if it does not;
 	// version is the object's, which renewals raise.
-	fence   uint64
-	version int64
-	renewed time.Time
-	// seen is the version last seen and since when, other what it held.
-	seen   int64
-	seenAt time.Time
-	other  content
+	fence     uint64
+	version   int64
+	renewedAt time.Time
+	// seenVersion is the version last seenVersion and since when, other what it held.
+	seenVersion int64
+	seenAt      time.Time
+	lastRead    content
 	// sequence and note of this process's own writes.
 	sequence uint64
 	note     json.RawMessage
-	// takeover tells that a write which takes the lease from another was sent;
+	// takeoverPending tells that a write which takes the lease from another was sent;
 	// takenAt is when one is known to have won, zero if the lease was free.
-	takeover  bool
-	takenAt   time.Time
-	takenNote json.RawMessage
-	// written is the value of this process's last write that won.
-	written []byte
-	// toldAt is when the holder itself last told of a renewal, news has an item then.
-	toldAt time.Time
-	news   chan struct{}
+	takeoverPending bool
+	takenOverAt     time.Time
+	takenOverNote   json.RawMessage
+	// lastWritten is the value of this process's last write that won.
+	lastWritten []byte
+	// observedAt is when the holder itself last told of a renewal, news has an item then.
+	observedAt time.Time
+	renewals   chan struct{}
 }
 
 // New returns a lease that is not held.
@@ -92,9 +92,9 @@
 		cfg.Now = time.Now
 	}
 	if cfg.Act == 0 {
-		cfg.Act = cfg.renewable()
+		cfg.Act = cfg.renewWindow()
 	}
-	return &Lease{cfg: cfg, api: api, news: make(chan struct{}, 1)}
+	return &Lease{cfg: cfg, api: api, renewals: make(chan struct{}, 1)}
 }
 
 // SetNote leaves a note for the others, JSON, with the next renewal.
@@ -112,14 +112,14 @@
 	if l.fence != 0 {
 		return nil
 	}
-	return l.other.Note
+	return l.lastRead.Note
 }
 
 // LastNote is the note last read, of whichever holder.
 func (l *Lease) LastNote() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.other.Note
+	return l.lastRead.Note
 }
 
 // LastWrite is this process's last write that won: the object's version after it, and its
@@ -127,7 +127,7 @@
 func (l *Lease) LastWrite() (version int64, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.version, l.written
+	return l.version, l.lastWritten
 }
 
 // ObserveRenewal takes in what the holder says that it has written, as if it had been read from the
@@ -136,7 +136,7 @@
 func (l *Lease) ObserveRenewal(version int64, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if version <= l.seen || version <= l.version {
+	if version <= l.seenVersion || version <= l.version {
 		return
 	}
 	c := decodeContent(value)
@@ -145,9 +145,9 @@
 	}
 	now := l.cfg.Now()
 	l.fence = 0
-	l.other, l.seen, l.seenAt, l.toldAt = c, version, now, now
+	l.lastRead, l.seenVersion, l.seenAt, l.observedAt = c, version, now, now
 	select {
-	case l.news <- struct{}{}:
+	case l.renewals <- struct{}{}:
 	default:
 	}
 }
@@ -156,11 +156,11 @@
 func (l *Lease) LastObservedRenewal() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.toldAt
+	return l.observedAt
 }
 
 // RenewalObserved has an item when the holder has told of a renewal.
-func (l *Lease) RenewalObserved() <-chan struct{} { return l.news }
+func (l *Lease) RenewalObserved() <-chan struct{} { return l.renewals }
 
 // TakenOver tells when this process took the lease over from another holder, and the
 // note that the other had left last; the zero time if it did not. What the other
@@ -168,11 +168,11 @@
 func (l *Lease) TakenOver() (at time.Time, note []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.takenAt, l.takenNote
+	return l.takenOverAt, l.takenOverNote
 }
 
-// value is what the next write puts into the object.
-func (l *Lease) value() ([]byte, error) {
+// nextValue is what the next write puts into the object.
+func (l *Lease) nextValue() ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sequence++
@@ -184,7 +184,7 @@
 func (l *Lease) Fence(now time.Time) (uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.fence == 0 || now.Sub(l.renewed) >= l.cfg.Act {
+	if l.fence == 0 || now.Sub(l.renewedAt) >= l.cfg.Act {
 		return 0, ErrNotHeld
 	}
 	return l.fence, nil
@@ -195,7 +195,7 @@
 func (l *Lease) IsHeld(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fence != 0 && now.Sub(l.renewed) < l.cfg.renewable()
+	return l.fence != 0 && now.Sub(l.renewedAt) < l.cfg.renewWindow()
 }
 
 // Step looks at the lease once: it renews it if held, and takes it if it has
@@ -216,7 +216,7 @@
 	l.mu.Lock()
 	version := l.version
 	l.mu.Unlock()
-	value, err := l.value()
+	value, err := l.nextValue()
 	if err != nil {
 		return err
 	}
@@ -229,7 +229,7 @@
 		}
 		return err
 	}
-	l.version, l.renewed, l.written = o.Version, began, value
+	l.version, l.renewedAt, l.lastWritten = o.Version, began, value
 	return nil
 }
 
@@ -238,17 +238,17 @@
 	if err != nil && !errors.Is(err, objectapi.ErrNotFound) {
 		return err
 	}
-	before := l.read(o)
+	before := l.applyRead(o)
 	own := before.Holder == l.cfg.Holder
-	if !l.lapsed(o.Version, began) && !own {
+	if !l.hasExpired(o.Version, began) && !own {
 		return ErrNotHeld
 	}
-	value, err := l.value()
+	value, err := l.nextValue()
 	if err != nil {
 		return err
 	}
 	if before.Holder != "" && !own {
-		l.noteTakeover(before.Note)
+		l.recordTakeover(before.Note)
 	}
 	o, err = l.api.Put(ctx, l.cfg.Key, value, o.Version)
 	if err != nil {
@@ -258,26 +258,26 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fence, l.version, l.renewed, l.written = uint64(o.Version), o.Version, began, value
-	l.seen, l.seenAt = o.Version, began
-	if l.takeover {
-		l.takenAt, l.takeover = began, false
+	l.fence, l.version, l.renewedAt, l.lastWritten = uint64(o.Version), o.Version, began, value
+	l.seenVersion, l.seenAt = o.Version, began
+	if l.takeoverPending {
+		l.takenOverAt, l.takeoverPending = began, false
 	}
 	return nil
 }
 
-// noteTakeover remembers a takeover until one has won: its answer may be lost, and
+// recordTakeover remembers a takeover until one has won: its answer may be lost, and
 // the next look then finds this process as holder.
-func (l *Lease) noteTakeover(note json.RawMessage) {
+func (l *Lease) recordTakeover(note json.RawMessage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.takeover, l.takenNote = true, note
+	l.takeoverPending, l.takenOverNote = true, note
 }
 
-// read takes in what the object holds. A lease that names this process as holder
+// applyRead takes in what the object holds. A lease that names this process as holder
 // is from its earlier life, or from a write whose answer was lost: nobody else can
 // act under it, so it is taken again at once, under a higher number.
-func (l *Lease) read(o objectapi.Object) content {
+func (l *Lease) applyRead(o objectapi.Object) content {
 	c := decodeContent(o.Value)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -285,7 +285,7 @@
 		// Another holds it now: its note is the one to follow.
 		l.fence = 0
 	}
-	l.other = c
+	l.lastRead = c
 	return c
 }
 
@@ -299,16 +299,16 @@
 	return c
 }
 
-// lapsed tells whether the object has stayed at a version for a whole term before
-// this process's eyes. A lease that never existed has lapsed.
-func (l *Lease) lapsed(version int64, now time.Time) bool {
+// hasExpired tells whether the object has stayed at a version for a whole term before
+// this process's eyes. A lease that never existed has hasExpired.
+func (l *Lease) hasExpired(version int64, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if version == 0 {
 		return true
 	}
-	if l.seenAt.IsZero() || version != l.seen {
-		l.seen, l.seenAt = version, now
+	if l.seenAt.IsZero() || version != l.seenVersion {
+		l.seenVersion, l.seenAt = version, now
 		return false
 	}
 	return now.Sub(l.seenAt) >= l.cfg.Term
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -13,49 +13,49 @@
 
 const term = 8 * time.Second
 
-// faulty loses answers or is down.
-type faulty struct {
+// faultyStore loses answers or is down.
+type faultyStore struct {
 	*standin.Store
-	lose, down bool
+	loseAnswers, down bool
 }
 
-func (f *faulty) Get(ctx context.Context, key string) (objectapi.Object, error) {
+func (f *faultyStore) Get(ctx context.Context, key string) (objectapi.Object, error) {
 	if f.down {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	return f.Store.Get(ctx, key)
 }
 
-func (f *faulty) Put(ctx context.Context, key string, value []byte, version int64) (objectapi.Object, error) {
+func (f *faultyStore) Put(ctx context.Context, key string, value []byte, version int64) (objectapi.Object, error) {
 	if f.down {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	o, err := f.Store.Put(ctx, key, value, version)
-	if f.lose && err == nil {
+	if f.loseAnswers && err == nil {
 		return objectapi.Object{}, objectapi.ErrOutcomeUnknown
 	}
 	return o, err
 }
 
-func open(api objectapi.API, holder string) *lease.Lease {
+func newLease(api objectapi.API, holder string) *lease.Lease {
 	return lease.New(lease.Config{Key: "lease.x", Holder: holder, Term: term, CallTimeout: time.Second}, api)
 }
 
-func holds(l *lease.Lease) (uint64, bool) {
+func fenceOf(l *lease.Lease) (uint64, bool) {
 	fence, err := l.Fence(time.Now())
 	return fence, err == nil
 }
 
-// steps lets some leases look every two seconds for a while, and checks after
+// stepAll lets some leases look every two seconds for a while, and checks after
 // each that at most one holds.
-func steps(t *testing.T, length time.Duration, all ...*lease.Lease) {
+func stepAll(t *testing.T, duration time.Duration, all ...*lease.Lease) {
 	t.Helper()
-	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(2 * time.Second) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(2 * time.Second) {
 		for _, l := range all {
 			l.Step(t.Context())
 			held := 0
 			for _, other := range all {
-				if _, ok := holds(other); ok {
+				if _, ok := fenceOf(other); ok {
 					held++
 				}
 			}
@@ -74,32 +74,32 @@
 func TestTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.New()
-		mine := &faulty{Store: store}
-		a, b := open(mine, "a"), open(store, "b")
-		steps(t, 20*time.Second, a, b)
-		first, ok := holds(a)
+		mine := &faultyStore{Store: store}
+		a, b := newLease(mine, "a"), newLease(store, "b")
+		stepAll(t, 20*time.Second, a, b)
+		first, ok := fenceOf(a)
 		if !ok {
 			t.Fatal("nobody took the lease")
 		}
 		// a is paused: only b looks.
-		steps(t, 3*term, b)
-		second, ok := holds(b)
+		stepAll(t, 3*term, b)
+		second, ok := fenceOf(b)
 		if !ok || second <= first {
 			t.Fatalf("fence %d after %d, held %v", second, first, ok)
 		}
-		if _, ok := holds(a); ok {
+		if _, ok := fenceOf(a); ok {
 			t.Error("the paused holder wakes as holder")
 		}
-		steps(t, term, a, b)
+		stepAll(t, term, a, b)
 		// b stops; a takes over again, then is cut off from the platform.
-		steps(t, 3*term, a)
-		third, ok := holds(a)
+		stepAll(t, 3*term, a)
+		third, ok := fenceOf(a)
 		if !ok || third <= second {
 			t.Fatalf("fence %d after %d, held %v", third, second, ok)
 		}
 		mine.down = true
-		steps(t, 4*term, a, b)
-		if _, ok := holds(b); !ok {
+		stepAll(t, 4*term, a, b)
+		if _, ok := fenceOf(b); !ok {
 			t.Error("nobody took over from the holder that was cut off")
 		}
 	})
@@ -111,29 +111,29 @@
 // act; it or another takes it after a term, and the fencing number still grows.
 func TestLostAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		api := &faulty{Store: standin.New(), lose: true}
-		a, b := open(api, "a"), open(api, "b")
-		steps(t, 2*term, a)
-		if _, ok := holds(a); ok {
+		api := &faultyStore{Store: standin.New(), loseAnswers: true}
+		a, b := newLease(api, "a"), newLease(api, "b")
+		stepAll(t, 2*term, a)
+		if _, ok := fenceOf(a); ok {
 			t.Fatal("held after a lost answer")
 		}
-		api.lose = false
-		steps(t, 3*term, a, b)
-		first, ok := holds(a)
+		api.loseAnswers = false
+		stepAll(t, 3*term, a, b)
+		first, ok := fenceOf(a)
 		if !ok {
-			first, ok = holds(b)
+			first, ok = fenceOf(b)
 		}
 		if !ok {
 			t.Fatal("nobody took the lease")
 		}
-		api.lose = true
+		api.loseAnswers = true
 		a.Step(t.Context())
 		b.Step(t.Context())
-		api.lose = false
-		steps(t, 4*term, a, b)
-		second, ok := holds(a)
+		api.loseAnswers = false
+		stepAll(t, 4*term, a, b)
+		second, ok := fenceOf(a)
 		if !ok {
-			second, ok = holds(b)
+			second, ok = fenceOf(b)
 		}
 		if !ok || second <= first {
 			t.Errorf("fence %d after %d, held %v", second, first, ok)
@@ -144,35 +144,35 @@
 // TestPlatformDownForAnHour keeps anybody from acting, and recovers.
 func TestPlatformDownForAnHour(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		api := &faulty{Store: standin.New()}
-		a, b := open(api, "a"), open(api, "b")
-		steps(t, 20*time.Second, a, b)
+		api := &faultyStore{Store: standin.New()}
+		a, b := newLease(api, "a"), newLease(api, "b")
+		stepAll(t, 20*time.Second, a, b)
 		api.down = true
-		steps(t, time.Hour, a, b)
+		stepAll(t, time.Hour, a, b)
 		for _, l := range []*lease.Lease{a, b} {
-			if _, ok := holds(l); ok {
+			if _, ok := fenceOf(l); ok {
 				t.Error("held through an outage longer than the term")
 			}
 		}
 		api.down = false
-		steps(t, 3*term, a, b)
-		_, mine := holds(a)
-		_, theirs := holds(b)
+		stepAll(t, 3*term, a, b)
+		_, mine := fenceOf(a)
+		_, theirs := fenceOf(b)
 		if !mine && !theirs {
 			t.Error("nobody holds it after the outage")
 		}
 	})
 }
 
-// TestToldOfRenewals has a candidate hear of renewals from the holder instead of the store.
+// TestObserveRenewal has a candidate hear of renewals from the holder instead of the store.
 //
 // What it is told counts as seen: the lease lapses a whole term after the last word, not
 // after its last look, and a word that was delayed or comes twice does not put that off. A
 // process that believes to hold the lease gives it up when it is told of a later holder.
-func TestToldOfRenewals(t *testing.T) {
+func TestObserveRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.New()
-		a, b := open(store, "a"), open(store, "b")
+		a, b := newLease(store, "a"), newLease(store, "b")
 		a.Step(t.Context())
 		b.Step(t.Context())
 		first, firstValue := a.LastWrite()
@@ -194,7 +194,7 @@
 		if err := b.Step(t.Context()); err != nil {
 			t.Errorf("not taken over a term after the last word: %v", err)
 		}
-		if _, held := holds(b); !held {
+		if _, held := fenceOf(b); !held {
 			t.Error("not held")
 		}
 		a.ObserveRenewal(b.LastWrite())
