--- a/internal/coordination/loadreport/doc.go
+++ b/internal/coordination/loadreport/doc.go
@@ -1,7 +1,7 @@
-// Package loadreport tells processes that send requests to the same endpoints what
-// each of them has underway there. An endpoint's own count of its load comes with its
-// answers only: with dozens of processes before dozens of endpoints a process hears of
-// an endpoint every few seconds, while queues grow and shrink within one. Reports are
-// datagrams, each replacing the sender's last; a lost one costs nothing but the age of
-// what is known. Nothing that must hold rests on them.
+// Package loadreport exchanges, between processes that send requests to the same
+// endpoints, what each of them has in flight there. An endpoint's own count of its load
+// comes only with its answers: with dozens of processes and dozens of endpoints, a process
+// gets a count of an endpoint every few seconds, while queues grow and shrink within one.
+// Reports are datagrams, and each replaces the sender's previous one; losing one only makes
+// what is known older. No guarantee depends on them.
 package loadreport
--- a/internal/coordination/loadreport/encoding.go
+++ b/internal/coordination/loadreport/encoding.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// maxReportedEndpoints bounds the endpoints in one report; each takes 40 bytes or less. Those with
-	// most to read are named first.
+	// maxReportedEndpoints bounds the endpoints in one report; each takes 40 bytes or less. Those
+	// with the most unread prompt tokens come first.
 	maxReportedEndpoints = 32
-	// tokenUnit is what tokens are counted in.
+	// tokenUnit is the number of tokens in one unit of a report's token counts.
 	tokenUnit = 64
-	// registryPrefix begins the keys of the registry of peers.
+	// registryPrefix is the prefix of the keys of the registry of peers.
 	registryPrefix = "peer."
 )
 
-// errInvalidKey tells that a registry key is none of this package's.
+// errInvalidKey is returned for a registry key that this package did not write.
 const errInvalidKey = errors.ConstError("not a key of the registry of peers")
 
 func encode(r routing.PeerReport) ([]byte, error) {
--- a/internal/coordination/loadreport/exchanger.go
+++ b/internal/coordination/loadreport/exchanger.go
@@ -19,29 +19,31 @@
 )
 
 const (
-	// reportInterval is the time between two reports: a prompt waits and is read for a
+	// reportInterval is the time between two reports: a prompt's wait and prefill take a
 	// few hundred ms.
 	reportInterval = 250 * time.Millisecond
-	// fanout peers get each report, in turn: with 200 bytes a report, at 12 requests a
-	// second, a process sends 3.6 KB/s with headers, whatever the size of its domain.
+	// fanout is the number of peers that get each report, in turn: with 200 bytes a report, at
+	// 12 requests a second, a process sends 3.6 KB/s with headers, whatever the size of its
+	// domain.
 	fanout = 4
-	// smallFleet is the number of other processes up to which all are told; beyond,
-	// only those of the own failure domain, who use the same endpoints most.
+	// smallFleet is the number of other processes up to which all of them get reports. In a
+	// larger fleet only those of the own failure domain do, which use the same endpoints most.
 	smallFleet = 6
-	// silenceTimeout is when a peer that is not heard of is told nothing more.
+	// silenceTimeout is how long a peer may send no report before it is sent none either.
 	silenceTimeout = 30 * time.Second
-	// registryInterval is how often the registry is read again: it heals what a start
-	// during a partition left out.
+	// registryInterval is how often the registry is read again, to find the processes that a
+	// start during a partition missed.
 	registryInterval = time.Minute
-	// settleDelay is when the registry is read for the second time: the first to start
-	// of a fleet finds few there and would take it for a small one until registerEvery.
+	// settleDelay is the time until the registry is read for the second time: the first processes
+	// of a fleet to start find few others there, and would treat the fleet as small for a whole
+	// registryInterval.
 	settleDelay = 5 * time.Second
-	// registryTimeout bounds one call to the registry, registerPause follows a failed one.
+	// registryTimeout bounds one round of calls to the registry; registryRetryDelay follows a failed round.
 	registryTimeout    = 2 * time.Second
 	registryRetryDelay = 2 * time.Second
 )
 
-// Directory knows the work underway.
+// Directory holds the work in flight, of this process and of its peers.
 type Directory interface {
 	OwnWork() []routing.Work
 	ApplyPeerReport(r routing.PeerReport, now time.Time)
@@ -52,21 +54,22 @@
 type Exchanger struct {
 	// Conn sends and receives reports; Run closes it.
 	Conn net.PacketConn
-	// Address of Conn as peers reach it.
+	// Address is that of Conn as peers reach it.
 	Address netip.AddrPort
 	Domain  string
-	// Incarnation names this life of the process.
+	// Incarnation identifies this start of the process.
 	Incarnation uint64
 	Directory   Directory
-	// Registry holds the addresses of all processes; it outlives them.
+	// Registry persistently holds the addresses of all processes.
 	Registry objectapi.API
 	Log      *zap.Logger
 
 	mu    sync.Mutex
 	peers map[netip.AddrPort]*peer
-	// silent peers were told for silentAfter and said nothing.
+	// silent are the peers that were sent reports for silenceTimeout and sent none.
 	silent map[netip.AddrPort]bool
-	// lastTarget is where the next round of reports goes on in the list of peers.
+	// lastTarget is the index of the last peer that got a report; the next round continues
+	// after it.
 	lastTarget int
 	lastNumber uint64
 }
@@ -74,17 +77,17 @@
 // peer is another process.
 type peer struct {
 	domain string
-	// lastSeen is when it last reported, or when the registry named it.
+	// lastSeen is when its last report arrived, or when it was first found in the registry.
 	lastSeen time.Time
 	// reportedSince is when reports to it began; zero while it is sent none.
 	reportedSince time.Time
-	// hasLeft tells that it has stopped. It is told on until it counts as silent: one that is back at once can't know the
-	// others while the registry is down.
+	// hasLeft is true once it has announced that it stops. It is sent reports until it counts as silent: a process that
+	// restarts at once can't learn of the others while the registry is down.
 	hasLeft bool
 }
 
-// silentFor is how long it has said nothing although it was told of this process. One that
-// is told nothing has no reason to report.
+// silentFor returns how long the peer has sent nothing although it was sent reports. A peer that
+// gets no reports has no reason to send any.
 func (p *peer) silentFor(now time.Time) time.Duration {
 	if p.reportedSince.IsZero() {
 		return 0
@@ -92,7 +95,7 @@
 	return min(now.Sub(p.lastSeen), now.Sub(p.reportedSince))
 }
 
-// Run exchanges reports until ctx ends, and then says that this process leaves.
+// Run exchanges reports until ctx ends, and then announces that this process leaves.
 func (e *Exchanger) Run(ctx context.Context) {
 	e.mu.Lock()
 	e.peers, e.silent = map[netip.AddrPort]*peer{}, map[netip.AddrPort]bool{}
@@ -115,12 +118,12 @@
 	workers.Wait()
 }
 
-// Hosts lists the hosts of the other processes that are known, of all failure domains.
+// Hosts returns the hosts of the known other processes, of all failure domains.
 func (e *Exchanger) Hosts() []netip.Addr {
 	return e.hosts(func(*peer) bool { return true })
 }
 
-// DomainHosts lists those of this process's own failure domain that have not stopped.
+// DomainHosts returns the hosts of the known other processes of the own failure domain that have not stopped.
 func (e *Exchanger) DomainHosts() []netip.Addr {
 	return e.hosts(func(p *peer) bool { return p.domain == e.Domain && !p.hasLeft })
 }
@@ -137,14 +140,14 @@
 	return out
 }
 
-// Processes counts the known processes, this one included.
+// Processes returns the number of known processes, including this one.
 func (e *Exchanger) Processes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.peers) + 1
 }
 
-// sendReport sends what is underway to the next peers in turn.
+// sendReport sends the work in flight to the next peers, at most limit of them.
 func (e *Exchanger) sendReport(leaving bool, limit int) {
 	targets := e.nextTargets(limit)
 	if len(targets) == 0 {
@@ -155,16 +158,16 @@
 		Sender: e.Incarnation, Number: e.lastNumber, Domain: e.Domain, Work: e.Directory.OwnWork(), Leaving: leaving,
 	})
 	if err != nil {
-		e.Log.Error("work report", zap.Error(err))
+		e.Log.Error("failed to encode a load report", zap.Error(err))
 		return
 	}
 	for _, to := range targets {
-		// A datagram may be lost anyway: the next report follows.
+		// The error is ignored: a datagram may be lost anyway, and the next report follows.
 		e.Conn.WriteTo(data, net.UDPAddrFromAddrPort(to))
 	}
 }
 
-// nextTargets picks the next peers to be told.
+// nextTargets picks the next peers that get a report, at most limit of them.
 func (e *Exchanger) nextTargets(limit int) []netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -176,7 +179,7 @@
 			list = append(list, address)
 			continue
 		}
-		// The fleet has grown beyond a small one.
+		// The fleet is no longer small, so this peer of another domain gets no more reports.
 		p.reportedSince = time.Time{}
 	}
 	slices.SortFunc(list, netip.AddrPort.Compare)
@@ -192,7 +195,7 @@
 	return out
 }
 
-// evictSilent drops the peers that say nothing; s.mu is held.
+// evictSilent removes the peers that have been silent for silenceTimeout. The caller must hold e.mu.
 func (e *Exchanger) evictSilent(now time.Time) {
 	for address, p := range e.peers {
 		if p.silentFor(now) > silenceTimeout {
@@ -202,19 +205,20 @@
 	}
 }
 
-// receive takes in reports until the connection is closed. A sender that the registry
-// has not named yet is a peer from now on.
+// receive handles reports until the connection is closed.
 func (e *Exchanger) receive() {
 	datagram.Each(e.Conn, func(data []byte, from net.Addr) {
 		report, err := decode(data)
 		if err != nil {
-			e.Log.Warn("work report does not decode", zap.Stringer("from", from), zap.Error(err))
+			e.Log.Warn("failed to decode a load report", zap.Stringer("from", from), zap.Error(err))
 			return
 		}
 		e.handleReport(report, from)
 	})
 }
 
+// handleReport passes a report on to the directory. A sender that is not yet known from the
+// registry becomes a peer.
 func (e *Exchanger) handleReport(r routing.PeerReport, from net.Addr) {
 	now := time.Now()
 	e.Directory.ApplyPeerReport(r, now)
@@ -232,7 +236,7 @@
 		return
 	}
 	if e.peers[address] == nil {
-		e.Log.Info("peer heard", zap.Stringer("address", address), zap.String("domain", r.Domain))
+		e.Log.Info("first load report from peer", zap.Stringer("address", address), zap.String("domain", r.Domain))
 		e.peers[address] = &peer{}
 	}
 	p := e.peers[address]
@@ -240,15 +244,15 @@
 	delete(e.silent, address)
 }
 
-// runRegistration enters this process in the registry and reads the others from it. Of two
-// that start together the later finds the earlier there and reports to it, so each
-// learns of the other.
+// runRegistration adds this process to the registry and reads the others from it, again and
+// again until ctx ends. Of two processes that start together, the later one finds the earlier
+// one there and reports to it, so each learns of the other.
 func (e *Exchanger) runRegistration(ctx context.Context) {
 	next := settleDelay
 	for ctx.Err() == nil {
 		wait := registryRetryDelay
 		if err := e.registerOnce(ctx); err != nil {
-			e.Log.Warn("registry of peers does not answer", zap.Error(err))
+			e.Log.Warn("failed to update from the registry of peers", zap.Error(err))
 		} else {
 			wait, next = next, registryInterval
 		}
@@ -272,7 +276,7 @@
 	for _, o := range list {
 		domain, address, err := parseRegistryKey(o.Key)
 		if err != nil {
-			e.Log.Error("registry of peers", zap.String("key", o.Key), zap.Error(err))
+			e.Log.Error("invalid key in the registry of peers", zap.String("key", o.Key), zap.Error(err))
 			continue
 		}
 		present[address] = true
@@ -284,7 +288,7 @@
 	return nil
 }
 
-// evictUnlisted drops the peers that only the registry spoke of, and does no more.
+// evictUnlisted removes the peers that get no reports and are no longer in the registry.
 func (e *Exchanger) evictUnlisted(present map[netip.AddrPort]bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -295,8 +299,8 @@
 	}
 }
 
-// addListed notes a peer that the registry names. True asks for the entry's removal: the
-// peer has been told of this process for long and has said nothing.
+// addListed adds a peer found in the registry. It returns true if the entry must be removed: the
+// peer was sent reports for silenceTimeout and sent none.
 func (e *Exchanger) addListed(domain string, address netip.AddrPort) (remove bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -310,9 +314,9 @@
 	return false
 }
 
-// removeEntry removes an entry of a process that is gone. One that lives, and was only not
-// heard, enters itself again when it reads the registry.
+// removeEntry removes the registry entry of a process that is gone. If the process is alive and
+// its reports were only lost, it adds itself again when it next reads the registry.
 func (e *Exchanger) removeEntry(ctx context.Context, o objectapi.Object) {
 	err := e.Registry.Delete(ctx, o.Key, o.Version)
-	e.Log.Info("silent peer taken out of the registry", zap.String("key", o.Key), zap.Error(err))
+	e.Log.Info("deleting a silent peer from the registry", zap.String("key", o.Key), zap.Error(err))
 }
--- a/internal/coordination/loadreport/exchanger_test.go
+++ b/internal/coordination/loadreport/exchanger_test.go
@@ -20,7 +20,7 @@
 	objectstandin "limpetwall/internal/transport/objectapi/standin"
 )
 
-// fakeDirectory records what a sharer hears.
+// fakeDirectory records the reports that an exchanger receives.
 type fakeDirectory struct {
 	mu      sync.Mutex
 	own     []routing.Work
@@ -61,7 +61,7 @@
 	clear(d.reports)
 }
 
-// process is one process of a test.
+// process is one process of a test fleet.
 type process struct {
 	*fakeDirectory
 	exchanger *Exchanger
@@ -75,11 +75,11 @@
 	registry *fakeRegistry
 }
 
-// fakeRegistry is an object API that can be away.
+// fakeRegistry is an object API whose Put can be made to fail.
 type fakeRegistry struct {
 	*objectstandin.Store
 	down atomic.Bool
-	// deleted counts the entries that were taken out.
+	// deleted counts the entries that were removed.
 	deleted atomic.Int64
 }
 
@@ -102,7 +102,7 @@
 	}
 }
 
-// start runs a process; number names it and its address.
+// start runs a process whose incarnation and address follow from number.
 func (f *testFleet) start(t *testing.T, number int, domain string) *process {
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(number)}), 7701)
 	d := &fakeDirectory{reports: map[uint64]routing.PeerReport{}, own: []routing.Work{{Endpoint: uint32(number), Running: 1}}}
@@ -122,11 +122,11 @@
 	}}
 }
 
-// TestAllProcessesExchangeReports starts processes together, later, and with a registry that is
-// away at first.
+// TestAllProcessesExchangeReports guards against processes that don't find each other: some start
+// together while the registry is unavailable, one starts later.
 //
-// Whoever starts enters itself before it reads the others, so of any two one reports to
-// the other, and the receiver answers from then on.
+// Each process adds itself to the registry before it reads the others, so of any two one reports
+// to the other, and the receiver reports back from then on.
 func TestAllProcessesExchangeReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet()
@@ -137,7 +137,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		if len(processes[0].senders()) != 0 {
-			t.Error("heard without a registry")
+			t.Error("got reports without a registry")
 		}
 		f.registry.down.Store(false)
 		time.Sleep(10 * time.Second)
@@ -145,13 +145,13 @@
 		time.Sleep(10 * time.Second)
 		for i, m := range processes {
 			if got := m.senders(); len(got) != 4 {
-				t.Errorf("process %d heard %v", i+1, got)
+				t.Errorf("process %d got reports from %v, want from all 4 others", i+1, got)
 			}
 		}
 		processes[4].stop()
 		time.Sleep(time.Second)
 		if got := processes[0].senders(); slices.Contains(got, 5) {
-			t.Error("a process that left still counts")
+			t.Error("got a report of a process that has left")
 		}
 		for _, m := range processes[:4] {
 			m.stop()
@@ -159,8 +159,8 @@
 	})
 }
 
-// TestRestartedProcessReceivesReportsWithoutRegistry guards against a process that knows nobody, as it was stopped and started while
-// the registry was down: what others hold in memory only would not reach it.
+// TestRestartedProcessReceivesReportsWithoutRegistry guards against a process that knows no other because it was restarted
+// while the registry was unavailable: it would not receive what the others hold only in memory.
 func TestRestartedProcessReceivesReportsWithoutRegistry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet()
@@ -170,22 +170,21 @@
 		two.stop()
 		time.Sleep(5 * time.Second)
 		if hosts := one.exchanger.DomainHosts(); len(hosts) != 0 {
-			t.Errorf("%v share work after they have stopped", hosts)
+			t.Errorf("got %v as hosts of the domain, want none after the other process has stopped", hosts)
 		}
 		two = f.start(t, 2, "a")
 		time.Sleep(time.Second)
 		if got := two.senders(); !slices.Contains(got, 1) {
-			t.Errorf("heard %v", got)
+			t.Errorf("got reports from %v, want one from process 1", got)
 		}
 		one.stop()
 		two.stop()
 	})
 }
 
-// TestLargeFleetReportsWithinDomain runs twelve processes in two domains.
-//
-// Beyond a handful only those of the own domain are told, and a process sends four
-// reports a round whatever their number.
+// TestLargeFleetReportsWithinDomain runs twelve processes in two domains. In a fleet larger than
+// smallFleet, a process reports only to those of its own domain, and sends four reports a round
+// whatever their number.
 func TestLargeFleetReportsWithinDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet()
@@ -202,13 +201,13 @@
 		time.Sleep(seconds * time.Second)
 		for i, m := range processes {
 			if got := m.senders(); len(got) != 5 {
-				t.Errorf("process %d heard %v", i+1, got)
+				t.Errorf("process %d got reports from %v, want from the 5 others of its domain", i+1, got)
 			}
 		}
 		sent, _ := f.network.Sent()
-		// The ends of the window may each take in a round.
+		// The window may include a round at each of its ends.
 		if rounds := seconds*int(time.Second/reportInterval) + 1; sent > 12*fanout*rounds {
-			t.Errorf("%d reports in %d rounds of 12 processes", sent, rounds)
+			t.Errorf("got %d reports in %d rounds of 12 processes, want at most fanout a process and round", sent, rounds)
 		}
 		for _, m := range processes {
 			m.stop()
@@ -216,12 +215,13 @@
 	})
 }
 
-// TestLiveProcessesStayInRegistry starts twelve processes of two domains one after the
+// TestLiveProcessesStayInRegistry guards against removing the registry entries of live processes,
+// which processes that start later need. Twelve processes of two domains start one after the
 // other, as on hosts that come up within 0.3 s.
 //
-// The first ones read a registry that names few, take the fleet for a small one, and report
-// to the other domain until they have read it again. Who is no longer told has no reason to
-// answer: its silence says nothing, and its entry stays for those that start later.
+// The first ones find few entries in the registry, treat the fleet as small, and report to the
+// other domain until they read the registry again. A process that gets no more reports has no
+// reason to send any, so it must not count as silent.
 func TestLiveProcessesStayInRegistry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet()
@@ -232,7 +232,7 @@
 		}
 		time.Sleep(5 * time.Minute)
 		if deleted := f.registry.deleted.Load(); deleted != 0 {
-			t.Errorf("%d entries of living processes taken out", deleted)
+			t.Errorf("%d entries of live processes were removed, want none", deleted)
 		}
 		for _, m := range processes {
 			m.stop()
@@ -240,12 +240,12 @@
 	})
 }
 
-// TestLostProcessIsRemovedFromRegistry loses a process without a word, and cuts off
-// another for a while.
+// TestLostProcessIsRemovedFromRegistry cuts two of three processes off from the others' reports. One
+// of them stops meanwhile, so that the others don't learn of its leaving.
 //
-// The entry of the lost one is taken out, so that a fleet whose hosts are replaced for
-// years does not report to all that ever were. The one that was cut off enters itself
-// again and is heard.
+// The entry of the stopped process is removed: a fleet whose hosts are replaced over the years
+// must not report to all that ever existed. The other process adds itself again after it
+// is connected again, and its reports are received.
 func TestLostProcessIsRemovedFromRegistry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet()
@@ -268,15 +268,15 @@
 		one.reset()
 		time.Sleep(5 * time.Minute)
 		if got := one.senders(); !slices.Contains(got, 2) {
-			t.Errorf("heard %v after the cut", got)
+			t.Errorf("got reports from %v after the partition, want one from process 2", got)
 		}
 		one.stop()
 		two.stop()
 	})
 }
 
-// TestReportFitsOneDatagram encodes more work than a datagram holds; what has most to read
-// is told.
+// TestReportFitsOneDatagram encodes more work than a datagram holds: the report must contain the
+// endpoints with the most unread tokens.
 func TestReportFitsOneDatagram(t *testing.T) {
 	r := routing.PeerReport{Sender: 1 << 60, Number: 1 << 40, Domain: "a domain with a long name"}
 	for i := range 500 {
@@ -288,18 +288,18 @@
 	}
 	data, err := encode(r)
 	if err != nil || len(data) > datagram.MaxSize {
-		t.Fatalf("%d bytes, %v", len(data), err)
+		t.Fatalf("got %d bytes, error %v, want at most datagram.MaxSize bytes", len(data), err)
 	}
 	got, err := decode(data)
 	if err != nil || got.Sender != r.Sender || got.Number != r.Number || got.Domain != r.Domain || len(got.Work) != maxReportedEndpoints {
-		t.Fatalf("%+v %v", got, err)
+		t.Fatalf("decoded: got %+v, error %v, want the encoded header and maxReportedEndpoints endpoints", got, err)
 	}
 	if first, want := got.Work[0], r.Work[499]; first.Endpoint != want.Endpoint || first.Unread[9]-want.Unread[9] >= tokenUnit {
-		t.Errorf("%+v, want %+v", first, want)
+		t.Errorf("first endpoint: got %+v, want %+v", first, want)
 	}
 }
 
-// FuzzDecode feeds a process with what anyone may send to its port.
+// FuzzDecode decodes arbitrary data, as anyone may send to a process's port.
 func FuzzDecode(f *testing.F) {
 	data, err := encode(routing.PeerReport{Sender: 1, Number: 2, Domain: "a", Work: []routing.Work{{Endpoint: 3, Running: 4}}})
 	if err != nil {
