--- a/internal/coordination/gateway/bench_test.go
+++ b/internal/coordination/gateway/bench_test.go
@@ -19,7 +19,7 @@
 	"limpetwall/internal/transport/logging"
 )
 
-// newKeepAliveEndpoint answers any number of requests on each connection.
+// newKeepAliveEndpoint starts an endpoint that answers any number of requests on each connection, and returns its address.
 func newKeepAliveEndpoint(b *testing.B, answer func(c net.Conn, r *http.Request)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 	return l.Addr().String()
 }
 
-// newBenchGateway is a gateway that logs as in production, before one endpoint.
+// newBenchGateway returns a gateway that logs as in production and has one endpoint.
 func newBenchGateway(b *testing.B, kind routes.Kind, answer func(c net.Conn, r *http.Request)) *Gateway {
 	t := &testing.T{}
 	s := newTestServer(t, singleRoute(kind, 1))
@@ -60,7 +60,7 @@
 	return s.gateway
 }
 
-// cpuTime is what this process has used, the endpoint's part included.
+// cpuTime returns the CPU time that this process has used, including that of the test's endpoint.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -81,8 +81,8 @@
 	}
 }
 
-// BenchmarkPlainRequest forwards a request of 600 bytes; its processor time
-// includes the endpoint's, not the reading of the caller's connection.
+// BenchmarkPlainRequest forwards a request of 600 bytes. Its CPU time includes the
+// endpoint's, but not that of reading from the caller's connection.
 func BenchmarkPlainRequest(b *testing.B) {
 	body := strings.Repeat("a", 800)
 	g := newBenchGateway(b, routes.NonIdempotent, func(c net.Conn, r *http.Request) {
@@ -96,8 +96,8 @@
 	b.ReportMetric(float64((cpuTime(b)-began).Microseconds())/float64(b.N), "cpu-µs/op")
 }
 
-// BenchmarkStreamEvent forwards streams of a thousand events of 65 bytes, without
-// the write of each to a caller's connection.
+// BenchmarkStreamEvent forwards streams of a thousand events of 65 bytes. Its CPU time
+// does not include writing them to a caller's connection.
 func BenchmarkStreamEvent(b *testing.B) {
 	const events = 1000
 	var all strings.Builder
--- a/internal/coordination/gateway/crash.go
+++ b/internal/coordination/gateway/crash.go
@@ -20,39 +20,39 @@
 )
 
 const (
-	// probeTimeout bounds the connection that tells whether an endpoint's process still listens:
+	// probeTimeout bounds the connection attempt that checks whether an endpoint's process still listens:
 	// a host that is up answers within a round trip.
 	probeTimeout = 300 * time.Millisecond
-	// crashRetention is how long the crash of an endpoint is remembered for runs whose connections break later.
+	// crashRetention is how long a crash is remembered, for runs at the endpoint whose connections break later.
 	crashRetention = 10 * time.Second
-	// maxLoggedRuns bounds the requests named in the line on an endpoint's end.
+	// maxLoggedRuns bounds the requests listed in the log line of a crash.
 	maxLoggedRuns = 16
 )
 
-// brokenRun is an attempt whose connection ended without a whole answer.
+// brokenRun is an attempt whose connection ended before the response was complete.
 type brokenRun struct {
 	quarantine.Attempt
 	requestID string
 }
 
-// crashProbe finds out what became of an endpoint when a run's connection had ended.
+// crashProbe finds out whether an endpoint has crashed after the connection of a run there ended.
 type crashProbe struct {
 	startedAt time.Time
-	// done is closed when what was found is in the evidence.
+	// done is closed once the result is recorded in the quarantine's crash records.
 	done    chan struct{}
 	crashed bool
 	runs    []brokenRun
 }
 
-// crashProbes are those underway, and of endpoints that crashed of late, by incarnation.
+// crashProbes holds the probes in flight and those of endpoints that crashed recently, by incarnation.
 type crashProbes struct {
 	inFlight      sync.WaitGroup
 	mu            sync.Mutex
 	byIncarnation map[uint64]*crashProbe
 }
 
-// addRun adds a run to its endpoint's probe. The caller has to carry out the first of an incarnation, and to
-// report a run that comes late, when the probe has been concluded.
+// addRun adds a run to the probe of its endpoint's incarnation. If first is true, the caller must carry out the new
+// probe. If late is true, the probe has already found a crash, and the caller must blame the run itself.
 func (q *crashProbes) addRun(incarnation uint64, run brokenRun) (p *crashProbe, first, late bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -68,7 +68,8 @@
 	return p, true, false
 }
 
-// finish notes what was found. An endpoint that lives may end later: only an end is remembered.
+// finish records the result of a probe and returns its runs. Only a crash is remembered: an endpoint that is still
+// alive may crash later.
 func (q *crashProbes) finish(incarnation uint64, p *crashProbe, crashed bool) []brokenRun {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -87,14 +88,15 @@
 	delete(q.byIncarnation, incarnation)
 }
 
-// probeCrash has an endpoint probed under which a run broke. nil means that there is nothing to find out.
+// probeCrash probes the endpoint of a broken run, or adds the run to a probe in flight. It returns nil if there is
+// nothing to find out.
 func (x *exchange) probeCrash(c routing.Choice, o outcome, sent time.Time) *crashProbe {
 	if o.kind != broken || x.g.Dial == nil || !connectionEnded(o.err) {
 		return nil
 	}
 	instance, listed := x.g.State.Instance(c.Member.ID)
 	if !listed || instance.Leaving {
-		// One that leaves ends by itself, and cuts what it still runs.
+		// A leaving endpoint exits on its own and cuts the runs that it still has.
 		return nil
 	}
 	run := brokenRun{quarantine.Attempt{Key: x.fingerprint(), About: x.requestInfo(), Sent: sent, Output: x.firstEventAt}, x.call.ID}
@@ -108,7 +110,7 @@
 	return p
 }
 
-// hasCrashed tells whether the endpoint is known to have crashed; nil was never probed.
+// hasCrashed reports whether the endpoint is known to have crashed; a nil probe was never made.
 func (p *crashProbe) hasCrashed() bool {
 	if p == nil {
 		return false
@@ -121,8 +123,9 @@
 	}
 }
 
-// connectionEnded tells an end of the connection from silence: a process that crashes has its
-// connections closed by its host, one that is cut off or paused has not.
+// connectionEnded reports whether err means that the connection was closed, as opposed to silent: a host closes the
+// connections of a process that crashes, but not of one that is paused or partitioned. A response to another request and
+// an attempt that this process ended don't count.
 func connectionEnded(err error) bool {
 	var network net.Error
 	if errors.As(err, &network) && network.Timeout() {
@@ -131,7 +134,7 @@
 	return !errors.Is(err, upstream.ErrForeign) && !errors.Is(err, errWeightsReplaced) && !errors.Is(err, errRunStopped)
 }
 
-// runProbe carries out a probe.
+// runProbe carries out a probe, and blames its runs if the endpoint has crashed.
 func (g *Gateway) runProbe(i discovery.Instance, incarnation uint64, p *crashProbe) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -150,11 +153,11 @@
 		zap.Int("runs_broken", len(runs)), zap.Any("runs", loggedRuns(runs[:min(len(runs), maxLoggedRuns)], p.startedAt)))
 }
 
-// loggedRun is a broken run as the log tells of it.
+// loggedRun is a broken run as written to the log.
 type loggedRun struct {
 	RequestID   string          `json:"request_id"`
 	Fingerprint fingerprint.Key `json:"fingerprint"`
-	// SentMS and OutputMS tell how long before the endpoint's end it was sent, and had its first event.
+	// SentMS and OutputMS are how long before the crash the run was sent and had its first event.
 	SentMS   int64 `json:"sent_ms"`
 	OutputMS int64 `json:"output_ms,omitempty"`
 }
@@ -171,8 +174,9 @@
 	return out
 }
 
-// checkQuarantine refuses a request that crashes endpoints. To a gateway each attempt of a caller is a new request: without
-// a memory that all share, one that crashes endpoints takes one away with every attempt, at every gateway.
+// checkQuarantine refuses a request that crashes endpoints. To a gateway, each attempt of a caller is a new request:
+// unless all gateways share what is known of crashes, such a request crashes another endpoint with every attempt, at
+// every gateway.
 func (x *exchange) checkQuarantine(ctx context.Context) *apierror.Error {
 	if x.g.Guard.IsIdle() {
 		return nil
@@ -182,23 +186,23 @@
 	return refusal
 }
 
-// errBlamed ends an attempt that has no answer yet when its request is to blame for the crashes of others.
+// errBlamed cancels an attempt without a response whose request is blamed for crashes of other endpoints.
 const errBlamed = errors.ConstError("the request has crashed other endpoints")
 
-// pendingRun is an attempt that has no answer yet.
+// pendingRun is an attempt that has no response yet.
 type pendingRun struct {
 	request fingerprint.Request
 	body    []byte
 	cancel  context.CancelCauseFunc
 }
 
-// pendingRuns are those that are called back when their requests are found to be to blame. Their fingerprints are computed
-// only then: most runs are sent while no crash is known.
+// pendingRuns holds the runs to cancel when their requests are blamed for crashes. Fingerprints are computed only then,
+// as most runs are sent while no crash is known.
 type pendingRuns struct {
 	subscribe sync.Once
 	mu        sync.Mutex
 	runs      map[*pendingRun]struct{}
-	// blamed are the requests to look for, looking tells that someone does.
+	// blamed are the requests whose runs are still to be canceled; searching is true while a goroutine does so.
 	blamed    map[fingerprint.Key]struct{}
 	searching bool
 }
@@ -218,7 +222,7 @@
 	delete(p.runs, run)
 }
 
-// onBlame has the runs of a request called back.
+// onBlame cancels the pending runs of a request in the background.
 func (p *pendingRuns) onBlame(key fingerprint.Key) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -246,7 +250,7 @@
 	}
 }
 
-// drainBlamed returns the requests to look for, and where; none if all are done.
+// drainBlamed returns the pending runs and the requests to look for among them. Without such requests it ends the search.
 func (p *pendingRuns) drainBlamed() ([]*pendingRun, map[fingerprint.Key]struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -256,8 +260,8 @@
 	return slices.Collect(maps.Keys(p.runs)), blamed
 }
 
-// cancelWhenBlamed cancels an attempt once its request is to blame; it would crash this endpoint as well. The returned
-// function ends that.
+// cancelWhenBlamed cancels an attempt as soon as its request is blamed for crashes: it would crash this endpoint as well.
+// The returned function stops watching. A trial run is not canceled.
 func (x *exchange) cancelWhenBlamed(cancel context.CancelCauseFunc) (stop func()) {
 	if x.g.Guard == nil || x.onTrial {
 		return func() {}
@@ -272,9 +276,9 @@
 	return func() { pending.remove(run) }
 }
 
-// isRetryBlocked tells whether a request must not be sent to another endpoint. After a run that broke it waits for what
-// became of the endpoint: otherwise a request that may be repeated would crash a second before the first counts.
-// A trial that no endpoint ran, as they were full, goes on: it would else be wasted.
+// isRetryBlocked reports whether a request must not be sent to another endpoint because it crashes endpoints. After a
+// broken run it waits for the result of the probe: otherwise a repeatable request would crash a second endpoint before
+// the first crash counts. A trial that full endpoints rejected may be retried, or it would be used up without a run.
 func (x *exchange) isRetryBlocked(ctx context.Context, p *crashProbe) bool {
 	if p == nil {
 		return !x.onTrial && !x.g.Guard.IsIdle() && x.g.Guard.IsBlocked(x.fingerprint())
@@ -286,14 +290,14 @@
 	return x.g.Guard.IsBlocked(x.fingerprint())
 }
 
-// recordSurvival clears a request that an endpoint has run to its end, also to one that is a failure.
+// recordSurvival clears a request that an endpoint has run to its end, even if the result is a failure.
 func (x *exchange) recordSurvival(o outcome) {
 	if (o.kind == delivered || o.kind == answeredFailure) && !x.g.Guard.IsIdle() {
 		x.g.Guard.RecordCompletion(x.fingerprint())
 	}
 }
 
-// requestInfo describes the request to operators.
+// requestInfo returns what operators see of a quarantined request.
 func (x *exchange) requestInfo() quarantine.RequestInfo {
 	about := quarantine.RequestInfo{Service: x.service.Name, Method: x.r.Method, Target: x.r.RequestURI}
 	if x.customer != nil {
@@ -302,7 +306,7 @@
 	return about
 }
 
-// fingerprint names the request; it is computed only where something is to be found out.
+// fingerprint identifies the request. It is computed on first use, as most requests need none.
 func (x *exchange) fingerprint() fingerprint.Key {
 	if x.cachedFingerprint == nil {
 		key := fingerprint.Of(x.identity(), x.body)
@@ -311,7 +315,7 @@
 	return *x.cachedFingerprint
 }
 
-// identity is what makes the request the same as another, beside the body.
+// identity is what a request has in common with its repetitions, apart from the body.
 func (x *exchange) identity() fingerprint.Request {
 	request := fingerprint.Request{Host: x.r.Host, Method: x.r.Method, Target: x.r.RequestURI}
 	if x.customer != nil {
--- a/internal/coordination/gateway/crash_test.go
+++ b/internal/coordination/gateway/crash_test.go
@@ -24,21 +24,20 @@
 	"limpetwall/internal/transport/objectapi/standin"
 )
 
-// crashEndpoint ends an endpoint as the end of its process does: it listens no more, and its connections close.
+// crashEndpoint returns a responder that ends an endpoint as a crash does: the listener and the connection are closed.
 func (s *testServer) crashEndpoint(endpoint int) responder {
 	return func(net.Conn, *http.Request) { s.endpoints[endpoint].listener.Close() }
 }
 
-// observeLogs collects a site's log.
+// observeLogs makes the gateway's log available to the test.
 func (s *testServer) observeLogs() *observer.ObservedLogs {
 	core, lines := observer.New(zap.InfoLevel)
 	s.gateway.Log = zap.New(core)
 	return lines
 }
 
-// TestCrashDetection ends a run in each way and looks whether the log calls it a crash.
-//
-// A lost answer or a reset connection that counted as a crash would have the request blamed for it.
+// TestCrashDetection ends a run in each way and checks whether the log reports a crash. If a lost answer or a reset
+// connection counted as a crash, the request would be blamed for it.
 func TestCrashDetection(t *testing.T) {
 	truncated := func(c net.Conn, r *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 50\r\n\r\nhalf", headerID, r.Header.Get(headerID))
@@ -53,12 +52,12 @@
 		crashed bool
 	}{
 		{"a crash", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r) }, false, true},
-		{"a crash inside a stream", routes.Streaming, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r); respondStream("", "1")(c, r) }, false, true},
-		{"a crash inside an answer", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r); truncated(c, r) }, false, true},
-		{"the end of one that leaves", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r) }, true, false},
-		{"a lost answer", routes.NonIdempotent, closeConn, false, false},
-		{"a torn answer", routes.NonIdempotent, truncated, false, false},
-		{"a reset connection", routes.NonIdempotent, reset, false, false},
+		{"crash during a stream", routes.Streaming, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r); respondStream("", "1")(c, r) }, false, true},
+		{"crash during an answer", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r); truncated(c, r) }, false, true},
+		{"leaving endpoint exits", routes.NonIdempotent, func(c net.Conn, r *http.Request) { s.crashEndpoint(0)(c, r) }, true, false},
+		{"lost answer", routes.NonIdempotent, closeConn, false, false},
+		{"truncated answer", routes.NonIdempotent, truncated, false, false},
+		{"reset connection", routes.NonIdempotent, reset, false, false},
 		{"a failure", routes.NonIdempotent, respond(500, "sorry"), false, false},
 	}
 	for _, row := range rows {
@@ -77,19 +76,20 @@
 			s.server.Close()
 			s.gateway.crashProbes.waitProbes()
 			if got := lines.FilterMessage("endpoint crashed").Len() > 0; got != row.crashed {
-				t.Errorf("told as a crash: %v, want %v", got, row.crashed)
+				t.Errorf("logged as a crash: got %v, want %v", got, row.crashed)
 			}
 		})
 	}
 }
 
-// addGuard gives a site's gateway a guard whose duties don't run.
+// addGuard gives the gateway a quarantine guard whose background loops don't run.
 func (s *testServer) addGuard() *quarantine.Guard {
 	s.gateway.Guard = quarantine.NewGuard(quarantine.NewTracker(), standin.New(), zap.NewNop(), metrics.NewRegistry(), time.Now)
 	return s.gateway.Guard
 }
 
-// newCrashingServer has endpoints that crash on the body "poison", by ending the answer that begin makes.
+// newCrashingServer returns a server whose endpoints crash on the body "poison": the listener is closed, and the answer
+// ends after what begin writes.
 func newCrashingServer(t *testing.T, kind routes.Kind, attempts, endpoints int, begin responder) *testServer {
 	var s *testServer
 	responders := make([]responder, endpoints)
@@ -116,56 +116,57 @@
 	return e.bodies[len(e.bodies)-1]
 }
 
-// TestCrashingRequestIsRefused guards against a request that goes on crashing endpoints: by attempts of one exchange, by
-// exchanges one after the other, or by a stream that goes on elsewhere. Its caller is told, and others are served.
+// TestCrashingRequestIsRefused guards against a request that crashes one endpoint after another: with the attempts of one
+// exchange, with one exchange after another, or with a stream that is resumed at other endpoints. After three crashes its
+// caller gets a refusal, and other requests are still served.
 func TestCrashingRequestIsRefused(t *testing.T) {
 	rows := []struct {
 		name     string
 		kind     routes.Kind
 		attempts int
 		begin    responder
-		// requests until the first refusal.
+		// requests is how many are sent before the first refusal.
 		requests int
 	}{
-		{"one attempt an exchange", routes.NonIdempotent, 1, closeConn, 3},
+		{"one attempt per exchange", routes.NonIdempotent, 1, closeConn, 3},
 		{"two attempts", routes.Idempotent, 2, closeConn, 2},
-		{"attempts without end", routes.Idempotent, 9, closeConn, 1},
-		{"a stream that never begins", routes.Streaming, 1, closeConn, 3},
-		{"a stream that goes on elsewhere", routes.Streaming, 9, respondStream("", "1"), 1},
+		{"many attempts", routes.Idempotent, 9, closeConn, 1},
+		{"stream that never begins", routes.Streaming, 1, closeConn, 3},
+		{"resumed stream", routes.Streaming, 9, respondStream("", "1"), 1},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			s := newCrashingServer(t, row.kind, row.attempts, 9, row.begin)
 			for n := range row.requests {
 				if resp, body, err := s.do(s.newRequest("POST", "/r/x", "poison")); err == nil && strings.Contains(body, apierror.CodeQuarantined) {
-					t.Errorf("ask %d: %v", n, resp.Status)
+					t.Errorf("request %d was refused too early: %v", n, resp.Status)
 				}
 				s.gateway.crashProbes.waitDone(t)
 			}
 			if got := s.requestCount(); got != 3 {
-				t.Errorf("it reached %d endpoints, want 3", got)
+				t.Errorf("the request reached %d endpoints, want 3", got)
 			}
 			resp, body, err := s.do(s.newRequest("POST", "/r/x", "poison"))
 			if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" ||
 				!strings.Contains(body, apierror.CodeQuarantined) || !strings.Contains(body, `"ran":"no"`) {
-				t.Errorf("its caller got %v %v %s", resp, err, body)
+				t.Errorf("got %v %v %s, want a 503 refusal of a quarantined request", resp, err, body)
 			}
 			if got := s.requestCount(); got != 3 {
-				t.Errorf("it reached %d endpoints when it was refused", got)
+				t.Errorf("the refused request reached %d endpoints, want 3 as before", got)
 			}
 			for _, other := range []*http.Request{s.newRequest("POST", "/r/x", "other"), s.newRequest("POST", "/r/y", "other"), s.newRequest("PUT", "/r/x", "other")} {
 				if resp, _, err := s.do(other); err != nil || resp.StatusCode != http.StatusOK {
-					t.Errorf("another request got %v %v", resp, err)
+					t.Errorf("another request: got %v %v, want status 200", resp, err)
 				}
 			}
 		})
 	}
 }
 
-// waitProbes returns when no probe is underway; the requests have ended.
+// waitProbes waits until no probe is in flight. It must be called after the requests have ended.
 func (q *crashProbes) waitProbes() { q.inFlight.Wait() }
 
-// waitDone returns when what broke is in the evidence.
+// waitDone waits until the results of all open probes are recorded.
 func (q *crashProbes) waitDone(t *testing.T) {
 	t.Helper()
 	q.mu.Lock()
@@ -177,7 +178,7 @@
 	}
 }
 
-// TestLostAnswersAreNotCrashes guards against a request being refused whose answers were lost at one endpoint after the other.
+// TestLostAnswersAreNotCrashes guards against refusing a request whose answers were lost at one endpoint after another.
 func TestLostAnswersAreNotCrashes(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Idempotent, 9), closeConn, closeConn, closeConn, closeConn)
 	guard := s.addGuard()
@@ -185,12 +186,12 @@
 	s.server.Close()
 	s.gateway.crashProbes.waitProbes()
 	if s.requestCount() != 4 || !guard.IsIdle() {
-		t.Errorf("%d runs, idle %v", s.requestCount(), guard.IsIdle())
+		t.Errorf("got %d runs, guard idle %v, want 4 runs and an idle guard", s.requestCount(), guard.IsIdle())
 	}
 }
 
 // TestFullEndpointDoesNotUseUpTrial guards against a request that stays in quarantine because the first endpoint of its only
-// trial was full.
+// trial run was full.
 func TestFullEndpointDoesNotUseUpTrial(t *testing.T) {
 	rejectFirst := firstThen(reject, respond(200, "a"))
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 2), rejectFirst, rejectFirst)
@@ -200,17 +201,18 @@
 	key := fingerprint.Of(fingerprint.Request{Customer: "club", Host: "h", Method: "POST", Target: "/r/x"}, []byte("b"))
 	guard.Quarantines.Merge(quarantine.Record{Key: key, Level: 1, Until: now.Add(time.Second)}, now)
 	if resp, _, err := s.do(s.newRequest("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("in quarantine: %v %v", resp, err)
+		t.Errorf("in quarantine: got %v %v, want status 503", resp, err)
 	}
 	now = now.Add(2 * time.Second)
-	for _, when := range []string{"on trial", "after it"} {
+	for _, when := range []string{"trial run", "after the trial"} {
 		if resp, _, err := s.do(s.newRequest("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusOK {
-			t.Errorf("%s: %v %v", when, resp, err)
+			t.Errorf("%s: got %v %v, want status 200", when, resp, err)
 		}
 	}
 }
 
-// testRequestKey returns the key of the request POST /r/x with body "b", and a function that puts the blame for crashes on it.
+// testRequestKey returns the fingerprint of the request POST /r/x with body "b", and a function that records three crashes
+// for which it is to blame.
 func testRequestKey(guard *quarantine.Guard) (key fingerprint.Key, blame func()) {
 	key = fingerprint.Of(fingerprint.Request{Customer: "club", Host: "h", Method: "POST", Target: "/r/x"}, []byte("b"))
 	return key, func() {
@@ -220,7 +222,7 @@
 	}
 }
 
-// waitIdle returns when nobody looks for runs to call back.
+// waitIdle waits until no goroutine searches for runs to cancel.
 func (p *pendingRuns) waitIdle() {
 	for searching := true; searching; runtime.Gosched() {
 		p.mu.Lock()
@@ -229,11 +231,11 @@
 	}
 }
 
-// waitForClose keeps a request until its connection is closed by the gateway.
+// waitForClose blocks until the gateway closes the connection.
 func waitForClose(c net.Conn, _ *http.Request) { io.Copy(io.Discard, c) }
 
-// TestPendingRunsOfBlamedRequestAreCanceled guards against a request that crashes further endpoints because it was sent to them
-// before its crashes were known.
+// TestPendingRunsOfBlamedRequestAreCanceled guards against a request that crashes further endpoints because it was sent to
+// them before its crashes were known.
 func TestPendingRunsOfBlamedRequestAreCanceled(t *testing.T) {
 	rows := []struct {
 		name  string
@@ -243,7 +245,7 @@
 		{"not repeatable", routes.NonIdempotent, closeConn},
 		{"repeatable", routes.Idempotent, closeConn},
 		{"a stream", routes.Streaming, closeConn},
-		{"a stream without events", routes.Streaming, respondStream("")},
+		{"stream without events", routes.Streaming, respondStream("")},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -259,16 +261,16 @@
 			_, blame = testRequestKey(s.addGuard())
 			resp, body, err := s.do(s.newRequest("POST", "/r/x", "b"))
 			if err != nil || resp.StatusCode != http.StatusBadGateway || !strings.Contains(body, apierror.CodeOutcomeUnknown) {
-				t.Errorf("its caller got %v %v %s", resp, err, body)
+				t.Errorf("got %v %v %s, want a 502 with unknown outcome", resp, err, body)
 			}
 			if got := s.requestCount(); got != 1 {
-				t.Errorf("it reached %d endpoints, want 1", got)
+				t.Errorf("the request reached %d endpoints, want 1", got)
 			}
 		})
 	}
 }
 
-// TestBegunStreamIsNotCanceled guards against cutting a stream that its endpoint runs well.
+// TestBegunStreamIsNotCanceled guards against cutting a stream that its endpoint serves without a fault.
 func TestBegunStreamIsNotCanceled(t *testing.T) {
 	blamed := make(chan struct{})
 	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, r *http.Request) {
@@ -289,11 +291,12 @@
 	s.gateway.pendingRuns.waitIdle()
 	close(blamed)
 	if rest, err := io.ReadAll(resp.Body); err != nil {
-		t.Errorf("%q %v", rest, err)
+		t.Errorf("the rest of the stream: got %q, %v, want no error", rest, err)
 	}
 }
 
-// TestTrialRunIsNotCanceled guards against a trial ended by old evidence, of which this process hears late.
+// TestTrialRunIsNotCanceled guards against a trial run that is canceled because of old crashes, which this process learns
+// of late.
 func TestTrialRunIsNotCanceled(t *testing.T) {
 	var blame func()
 	var s *testServer
@@ -308,11 +311,11 @@
 	now := time.Now()
 	guard.Quarantines.Merge(quarantine.Record{Key: key, Level: 1, Until: now}, now)
 	if resp, _, err := s.do(s.newRequest("POST", "/r/x", "b")); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("%v %v", resp, err)
+		t.Errorf("got %v %v, want status 200", resp, err)
 	}
 }
 
-// replyHookCodec calls a function when an answer's head has come.
+// replyHookCodec calls onReply when the head of an answer has arrived.
 type replyHookCodec struct {
 	Codec
 	onReply func()
@@ -325,22 +328,23 @@
 	return c.Codec.DecodeReply(status, h)
 }
 
-// TestBlamedRequestIsNotRetriedAfterRejection guards against a request that goes on to another endpoint after a full one has rejected it,
-// though it is to blame by then.
+// TestBlamedRequestIsNotRetriedAfterRejection guards against a request that is sent to another endpoint after a full one
+// rejected it, although it has been blamed for crashes meanwhile.
 func TestBlamedRequestIsNotRetriedAfterRejection(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 2), reject, reject)
 	_, blame := testRequestKey(s.addGuard())
 	s.gateway.Codec = replyHookCodec{s.gateway.Codec, blame}
 	resp, body, err := s.do(s.newRequest("POST", "/r/x", "b"))
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, `"ran":"no"`) {
-		t.Errorf("its caller got %v %v %s", resp, err, body)
+		t.Errorf("got %v %v %s, want a 503 that says the request did not run", resp, err, body)
 	}
 	if got := s.requestCount(); got != 1 {
-		t.Errorf("it reached %d endpoints, want 1", got)
+		t.Errorf("the request reached %d endpoints, want 1", got)
 	}
 }
 
-// TestRunReportedAfterCrashIsBlamed guards against a culprit going free whose own connection is the last to be seen closed.
+// TestRunReportedAfterCrashIsBlamed guards against not blaming the request that crashed an endpoint because the end of its
+// connection was the last to be noticed.
 func TestRunReportedAfterCrashIsBlamed(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), closeConn)
 	guard := s.addGuard()
@@ -357,7 +361,7 @@
 		probe, key := breakRun(path)
 		<-probe.done
 		if !guard.IsSuspect(key) {
-			t.Errorf("%s is no suspect", path)
+			t.Errorf("the request for %s is not a suspect", path)
 		}
 	}
 }
--- a/internal/coordination/gateway/prompt.go
+++ b/internal/coordination/gateway/prompt.go
@@ -14,25 +14,25 @@
 	"limpetwall/internal/state/contextkey"
 )
 
-// promptContext names a prompt's shared context for decisions.
+// promptContext identifies the shared context of a prompt for routing and for transfers between caches.
 type promptContext struct {
-	// placementHash names the context for computed placement.
+	// placementHash identifies the context for computed placement.
 	placementHash uint64
-	// keys of the shared parts, each with all that precedes it, and the tokens up
-	// to the end of each; nil for requests without prompt.
+	// keys are those of the shared segments, each hashed with all that precede it; ends are the
+	// tokens up to the end of each. Both are nil for requests without a prompt.
 	keys []contextkey.Key
 	ends []int
-	// segments are the shared segments as their makers name them.
+	// segments are the shared segments with the IDs that the caller gave.
 	segments []contextcache.Segment
-	// sharingGroup separates contexts of customers that share none.
+	// sharingGroup separates the contexts of customers that must not share any.
 	sharingGroup string
 }
 
-// sharedGroup is the wall of all customers that are not isolated.
+// sharedGroup is the sharing group of all customers that are not isolated.
 const sharedGroup = "shared"
 
-// promptContext derives the context from the call's parts. The last part is the
-// request's own and returns to nobody, unless it is the only one.
+// promptContext derives the context from the call's segments. The last segment is left out
+// unless it is the only one: it belongs to this request and is not used again.
 func (x *exchange) promptContext() promptContext {
 	p := promptContext{sharingGroup: sharedGroup}
 	if x.customer != nil && x.customer.Isolated {
@@ -62,7 +62,7 @@
 	return p
 }
 
-// setHoldings tells a decision what stores and engines hold of a prompt.
+// setHoldings adds to a routing request what stores and engines hold of the prompt.
 func (x *exchange) setHoldings(r *routing.Request, p promptContext) {
 	weights := discovery.VersionName(x.g.newestWeights(x.call.Model))
 	if len(p.segments) == 0 || x.g.ContextTracker == nil || weights == "" {
@@ -83,8 +83,8 @@
 	}
 }
 
-// planTransfers says where a send's context comes from and goes to. Without a known
-// version of weights nothing is shared: what an engine keeps may be of any.
+// planTransfers sets where an attempt imports context from and exports it to. Nothing is
+// shared unless the weight version is known: cached context may be of any version.
 func (x *exchange) planTransfers(a *Attempt, p promptContext, c routing.Choice) {
 	weights, err := strconv.ParseInt(c.Member.Endpoint.WeightVersion, 10, 64)
 	if err != nil || x.g.ContextTracker == nil {
@@ -99,8 +99,8 @@
 	x.storedTokens = plan.StoredTokens
 }
 
-// padToSegments adds the parts that belong to the request alone: they come from
-// nowhere and go nowhere.
+// padToSegments appends empty addresses for the segments that belong to the request alone:
+// they are neither imported nor exported.
 func (x *exchange) padToSegments(addresses []string) []string {
 	for len(addresses) < len(x.call.Segments) {
 		addresses = append(addresses, "")
--- a/internal/coordination/gateway/reconfigure_test.go
+++ b/internal/coordination/gateway/reconfigure_test.go
@@ -14,15 +14,15 @@
 	"limpetwall/internal/state/routes"
 )
 
-// stateChanger changes what a gateway believes, again and again, until it is ended.
+// stateChanger keeps changing the configuration and the endpoints that a gateway knows.
 type stateChanger struct {
 	server   *testServer
 	kind     routes.Kind
 	revision uint64
 }
 
-// changeRoutes puts in force a configuration in which the route leads to the service, without it, without the customer, or
-// with the service as one of engines.
+// changeRoutes sets one of five configurations: the route leads to the service; no route or service; the route leads to
+// another service; no customer; or the service is one of engines.
 func (c *stateChanger) changeRoutes(n int) {
 	list := singleRoute(c.kind, 3)
 	list[0].Resumable = true
@@ -46,7 +46,7 @@
 	c.server.gateway.ContextTracker.SetStores(table.Services)
 }
 
-// changeInstance has an endpoint listed, leaving, of another service, restarted or gone.
+// changeInstance makes an endpoint listed, leaving, of another service, restarted, an engine, removed or misdirected.
 func (c *stateChanger) changeInstance(n int) {
 	state := c.server.gateway.State
 	e := c.server.endpoints[n%len(c.server.endpoints)]
@@ -79,7 +79,7 @@
 	c.server.gateway.Pool.Forget(c.server.endpoints[n%len(c.server.endpoints)].address)
 }
 
-// run swaps until done is closed.
+// run makes changes until done is closed.
 func (c *stateChanger) run(done <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
@@ -91,7 +91,7 @@
 	}
 }
 
-// flakyCopier copies each second run that it is asked for.
+// flakyCopier fails every fourth call, so that some relocations fail.
 type flakyCopier struct{ calls atomic.Int64 }
 
 // Copy implements RunCopier.
@@ -105,14 +105,14 @@
 // Drop implements RunCopier.
 func (*flakyCopier) Drop(context.Context, discovery.Instance, string) error { return nil }
 
-// TestEveryCallerIsAnsweredDuringChanges guards against a connection closed without an answer as the configuration or the
-// endpoints change under a request.
+// TestEveryCallerIsAnsweredDuringChanges guards against closing a connection without an answer when the configuration or
+// the endpoints change during a request.
 func TestEveryCallerIsAnsweredDuringChanges(t *testing.T) {
 	rows := []struct {
 		kind       routes.Kind
 		responders []responder
 		whole      string
-		// canBreak allows answers to break off once they have begun.
+		// canBreak is true if answers may break off after they have begun.
 		canBreak bool
 	}{
 		{routes.Idempotent, []responder{respond(200, "whole"), respond(500, "sorry"), keepAlive(closeConn), closeConn, reject, respondRaw("200 OK", "", "whole")}, "whole", false},
@@ -145,10 +145,10 @@
 						body, err := io.ReadAll(resp.Body)
 						resp.Body.Close()
 						if got := resp.Header.Get(headerID); got != id || len(body) == 0 || (err != nil && !row.canBreak) {
-							t.Errorf("%s: status %d to %q, %q, %v", id, resp.StatusCode, got, body, err)
+							t.Errorf("%s: got status %d for request %q, body %q, error %v", id, resp.StatusCode, got, body, err)
 						}
 						if resp.StatusCode == 200 && err == nil && string(body) != row.whole && string(body) != firstBody {
-							t.Errorf("%s: %q", id, body)
+							t.Errorf("%s: got body %q, want a complete one", id, body)
 						}
 					}
 				})
@@ -158,11 +158,11 @@
 			changers.Wait()
 			s.gateway.crashProbes.waitDone(t)
 			if !guard.IsIdle() {
-				t.Error("a request is blamed for a crash, and none crashed")
+				t.Error("a request is blamed for a crash, but no endpoint crashed")
 			}
 			for _, work := range s.gateway.Directory.OwnWork() {
 				if work.Running != 0 {
-					t.Errorf("%d runs stay booked", work.Running)
+					t.Errorf("%d runs are still counted as in flight, want none", work.Running)
 				}
 			}
 		})
--- a/internal/coordination/gateway/relocate.go
+++ b/internal/coordination/gateway/relocate.go
@@ -16,80 +16,83 @@
 	"limpetwall/internal/transport/upstream"
 )
 
-// Errors of a call to copy a run.
+// Errors of relocating a run; RunCopier returns the exported ones.
 const (
-	// ErrRunNotFound: the source runs no such request; it has ended.
-	ErrRunNotFound = errors.ConstError("the run is not there")
-	// ErrNoCapacity: the destination has no room or can't be reached.
-	ErrNoCapacity = errors.ConstError("no room for the run")
+	// ErrRunNotFound is returned when the source has no such run any more.
+	ErrRunNotFound = errors.ConstError("the source engine has no such run")
+	// ErrNoCapacity is returned when the destination has no free capacity or can't be reached.
+	ErrNoCapacity = errors.ConstError("the destination has no capacity for the run")
 
-	// errRunStopped: the run was stopped for a move that failed.
-	errRunStopped = errors.ConstError("the run was stopped, and not moved")
+	// errRunStopped ends an attempt whose run was stopped for a relocation that failed.
+	errRunStopped = errors.ConstError("the run was stopped for a relocation that failed")
 
-	// errRunEnded: the attempt ended before its run was stopped.
-	errRunEnded = errors.ConstError("the run has ended")
+	// errRunEnded ends a relocation whose attempt ended before the run was stopped.
+	errRunEnded = errors.ConstError("the run ended before it was stopped")
 )
 
-// RunCopier copies a running request's memory from one engine to another. With last the
-// run stops first, and its stream closes without its end; without it the run goes on
-// meanwhile. The handle names the copy; with ErrNoCapacity, what the source of a stopped run keeps.
+// RunCopier copies the memory of a run from one engine to another.
 type RunCopier interface {
+	// Copy returns a handle of the copy. If final is true the run is stopped first, and its stream
+	// closes without its end; otherwise the run continues meanwhile. With ErrNoCapacity, the handle
+	// is that of the memory that the source of a stopped run retains.
 	Copy(ctx context.Context, source discovery.Instance, requestID, destination string, final bool) (handle string, err error)
-	// Drop frees a copy that is not used.
+	// Drop releases a copy that is not used.
 	Drop(ctx context.Context, source discovery.Instance, handle string) error
 }
 
 const (
-	// relocationDelay is how long a run may end by itself once its engine is to be emptied:
-	// most short ones do. Loading weights takes an engine about twice as long.
+	// relocationDelay is how long a run is left to end on its own once its engine is draining:
+	// most short runs do. Loading weights takes an engine about twice as long.
 	relocationDelay = 250 * time.Millisecond
 	// copyTimeout bounds one copy. A run of 1,000 tokens of 160 KB takes 5 ms over links of
 	// 280 Gbit/s, and waits behind others.
 	copyTimeout = time.Second
-	// streamCloseTimeout is how long after its stop a run's stream may take to close; it is cut
-	// then. What was still on the way comes again where the run goes on.
+	// streamCloseTimeout is how long the stream of a stopped run may take to close before it is cut.
+	// Events still in transit are sent again by the engine where the run continues.
 	streamCloseTimeout = 200 * time.Millisecond
 	// dropTimeout bounds the release of a copy.
 	dropTimeout = 500 * time.Millisecond
-	// minStartWindow of the time in which replaced weights may begin is needed at the
-	// destination: one whose own turn to load comes sooner gains nothing.
+	// minStartWindow is how long a destination with replaced weights must still be allowed to begin
+	// runs: nothing is gained at one whose own turn to load comes sooner.
 	minStartWindow = time.Second
-	// maxDestinationWait for a slot and memory at the destination: where runs already wait for them,
-	// one more would push another out. Prompts that wait there to be read are no hindrance,
-	// a copied run goes before them: counted in, they left most runs of busy engines where
-	// they were, and an engine waits for its last.
+	// maxDestinationWait bounds the expected wait for a slot and memory at the destination: where
+	// runs already wait for these, one more would displace another. Prompts that wait there for
+	// prefill are not counted, as a copied run goes before them: when they were, most runs of busy
+	// engines could not be moved, and an engine is empty only after its last run.
 	maxDestinationWait = 50 * time.Millisecond
 )
 
-// continuation is where a stopped run goes on.
+// continuation is the engine at which a stopped run continues, and the copy to continue from.
 type continuation struct {
 	choice routing.Choice
-	// source and handle name the copy.
+	// source and handle identify the copy.
 	source discovery.Instance
 	handle string
 }
 
-// copyName is the copy's name in a send.
+// copyName identifies the copy in an attempt's header.
 func (c *continuation) copyName() string { return c.source.Address + "/" + c.handle }
 
-// relocation watches over one attempt: when its engine is to be emptied, to load weights
-// or to leave, the run is copied to another engine and goes on there. Otherwise the engine
-// waits for its longest run, several seconds, in which it takes no new work; and one that
-// leaves cuts what runs longer than it stays.
+// relocation watches one attempt: when its engine is drained, to load weights or to leave,
+// the run is copied to another engine and continues there. Without it, the engine would accept no
+// new work for the several seconds until its longest run ends, and a leaving engine would cut the
+// runs that take longer than its remaining time.
 type relocation struct {
+	// hasOutput is set with the first event of the stream; a run without output is not moved.
 	hasOutput atomic.Bool
 	stop      context.CancelFunc
-	// settled is set once, by whoever is first: the run's stop, or the attempt's end. An
-	// answer that is complete does not wait for a copy that is still underway.
+	// settled is set once, by the run's stop or by the attempt's end, whichever is first. So a
+	// complete response does not wait for a copy in flight.
 	settled atomic.Bool
 	done    chan struct{}
 	// next is set before done is closed if the run has been stopped and copied.
 	next *continuation
-	// maybeStopped is set before done is closed if the run's stop was ordered, and it was not copied.
+	// maybeStopped is set before done is closed if the run was ordered to stop but was not copied.
 	maybeStopped bool
 }
 
-// watchRelocation starts a relocation for an attempt; ctx is the attempt's, and cut ends it.
+// watchRelocation starts to watch an attempt, and relocates its run when its engine is drained. ctx is the attempt's
+// context, and cut ends the attempt.
 func (x *exchange) watchRelocation(ctx context.Context, cut func(), c routing.Choice, attempt Attempt) *relocation {
 	r := &relocation{done: make(chan struct{})}
 	ctx, r.stop = context.WithCancel(ctx)
@@ -115,8 +118,8 @@
 	return r
 }
 
-// finish ends the watch. What it returns is true if the run goes on elsewhere: its stream
-// has then closed without its end, however that looked.
+// finish ends the watch. It returns true if the run continues elsewhere; the attempt's stream was
+// then incomplete, whatever it looked like.
 func (r *relocation) finish() (*continuation, bool) {
 	r.stop()
 	if r.settled.CompareAndSwap(false, true) {
@@ -126,9 +129,9 @@
 	return r.next, r.next != nil
 }
 
-// relocate copies a run and stops it; nil if it goes on where it is. The first copy, made
-// while the run goes on, finds out whether there is room: a run that is stopped and finds
-// none could only go on at its source, which may already refuse it.
+// relocate stops a run and copies it to another engine; it returns nil if the run was not moved.
+// The first copy, made while the run continues, finds out whether the destination has capacity: a
+// run that is stopped without any could only continue at its source, which may already refuse it.
 func (x *exchange) relocate(ctx context.Context, r *relocation, c routing.Choice) *continuation {
 	source, known := x.g.State.Instance(c.Member.ID)
 	if !known {
@@ -139,7 +142,7 @@
 		x.g.count("runs_moved.no_destination")
 		return nil
 	}
-	// The copyCtx must not be cut when the stream ends, which its own effect brings about.
+	// The calls must not be canceled by the end of the stream, which the final copy brings about.
 	copyCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*copyTimeout)
 	defer cancel()
 	startedAt := time.Now()
@@ -155,7 +158,7 @@
 		handle = cmp.Or(finalHandle, handle)
 	}
 	moved := err == nil
-	x.g.Log.Info("run moved", zap.String("request_id", x.call.ID), zap.String("from", c.Member.ID), zap.String("to", target.Member.ID),
+	x.g.Log.Info("run relocation finished", zap.String("request_id", x.call.ID), zap.String("from", c.Member.ID), zap.String("to", target.Member.ID),
 		zap.Bool("done", moved), zap.Duration("took", time.Since(startedAt)), zap.Error(err))
 	if !moved {
 		if stopOrdered && !errors.Is(err, ErrRunNotFound) {
@@ -170,15 +173,16 @@
 	return &continuation{choice: target, source: source, handle: handle}
 }
 
-// chooseDestination finds an engine with the same weights that has room at once.
+// chooseDestination picks an engine with the same weights and with free capacity; the choice is
+// empty if there is none.
 func (x *exchange) chooseDestination(c routing.Choice) routing.Choice {
 	heldTokens := x.call.PromptTokens + x.call.OutputTokens
 	target := x.g.Directory.Choose(x.service.Name, nil, &routing.Request{
-		// The run's memory comes with it: no prompt is read there.
+		// The run's memory is copied with it: the destination needs no prefill.
 		HeldTokens: heldTokens, MeanHeldTokens: heldTokens, HoldingsKnown: true, SegmentsKnown: true, PlacementHashKnown: true,
 		Domain: x.g.Domain, CrossDomainPenalty: crossDomainPenalty, Urgency: x.urgency(), Objective: config.Objective{WeightTTFT: 1},
 		WeightVersion: c.Member.Endpoint.WeightVersion, Now: time.Now(),
-		// One whose turn to load comes soon would have to pass the run on, or refuse it.
+		// An engine that is to load soon would have to move the run again, or refuse it.
 		Exclude: append(x.g.State.NextToLoad(c.Member.ID), c.Member.ID),
 	})
 	if target.Member.ID == "" {
@@ -192,8 +196,8 @@
 	return target
 }
 
-// correctOutcome tells how an attempt ended whose run was not moved. Where only the connection ends the answer, a stopped run
-// looks whole.
+// correctOutcome returns the true outcome of an attempt whose run was not moved. If the run may have been stopped, and
+// only the end of the connection delimits the response, a response that looks complete is treated as broken.
 func (r *relocation) correctOutcome(out outcome, resp *upstream.Response) outcome {
 	if !r.maybeStopped {
 		return out
@@ -205,13 +209,13 @@
 	return out
 }
 
-// abandon gives up a continuation whose caller has left, or whose time is up.
+// abandon releases a continuation that is not used, as its caller has left or its deadline has passed.
 func (x *exchange) abandon(next *continuation) {
 	x.g.Directory.Release(next.choice)
 	x.dropCopy(next.source, next.handle)
 }
 
-// dropCopy frees a copy that nobody will use.
+// dropCopy releases a copy that will not be used.
 func (x *exchange) dropCopy(source discovery.Instance, handle string) {
 	if handle == "" {
 		return
@@ -219,6 +223,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), dropTimeout)
 	defer cancel()
 	if err := x.g.Copier.Drop(ctx, source, handle); err != nil {
-		x.g.Log.Info("copy of a run is not freed", zap.String("request_id", x.call.ID), zap.String("endpoint", source.ID), zap.Error(err))
+		x.g.Log.Info("failed to release the copy of a run", zap.String("request_id", x.call.ID), zap.String("endpoint", source.ID), zap.Error(err))
 	}
 }
--- a/internal/coordination/gateway/relocate_test.go
+++ b/internal/coordination/gateway/relocate_test.go
@@ -16,11 +16,11 @@
 	"limpetwall/internal/state/routes"
 )
 
-// fakeCopier copies a run and, for the last copy, closes its stream.
+// fakeCopier is a RunCopier whose two copies signal the test, which then ends the run's stream.
 type fakeCopier struct {
-	// first and last are what the two copies answer.
+	// first and last are the errors of the first and of the final copy.
 	first, last error
-	// firstCopied is closed by the first copy, stopped by the last.
+	// firstCopied is closed by the first copy, stopped by the final one.
 	firstCopied, stopped chan struct{}
 
 	mu      sync.Mutex
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// TestRelocation begins a stream that may not be repeated at an engine that is then
-// to load weights, or leaves.
+// TestRelocation begins a stream that must not be repeated at an engine that is then ordered to
+// load weights or leaves.
 //
-// The run is copied, stopped, and goes on at the other engine: the caller gets each event
-// once, under the first head. Where no copy can be made it ends where it is; a run that is
-// stopped and rejected at the other engine is cut, and never run from its beginning.
+// The run is copied, stopped, and continues at the other engine: the caller gets each event
+// once, after the first head. If no copy can be made the run ends at its engine. A run that is
+// stopped and then rejected by the other engine is cut, and never run again from the start.
 func TestRelocation(t *testing.T) {
 	const whole = "123"
 	var s *testServer
@@ -67,16 +67,16 @@
 		events      string
 		complete    bool
 		sent        int
-		// crashed: the second engine did, under the run.
+		// crashed is true if the second engine crashes during the run.
 		crashed bool
 	}{
-		{"to load", nil, nil, func(s *discovery.State) { s.SetLoading("i-0", true) }, respondStream(lastChunk, "2", "3"), whole, true, 1, false},
-		{"to leave", nil, nil, leaveFirstEngine, respondStream(lastChunk, "3"), whole, true, 1, false},
-		{"no room", ErrNoCapacity, nil, leaveFirstEngine, respondStream(lastChunk), whole, true, 0, false},
-		{"ended meanwhile", nil, ErrRunNotFound, leaveFirstEngine, respondStream(lastChunk), whole, true, 0, false},
-		{"rejected where it should go on", nil, nil, leaveFirstEngine, reject, "12", false, 1, false},
-		{"torn where it goes on", nil, nil, leaveFirstEngine, respondStream("", "3"), whole, false, 1, false},
-		{"crashed where it goes on", nil, nil, leaveFirstEngine, func(c net.Conn, r *http.Request) { s.crashEndpoint(1)(c, r); respondStream("", "3")(c, r) }, whole, false, 1, true},
+		{"engine ordered to load", nil, nil, func(s *discovery.State) { s.SetLoading("i-0", true) }, respondStream(lastChunk, "2", "3"), whole, true, 1, false},
+		{"leaving engine", nil, nil, leaveFirstEngine, respondStream(lastChunk, "3"), whole, true, 1, false},
+		{"no capacity", ErrNoCapacity, nil, leaveFirstEngine, respondStream(lastChunk), whole, true, 0, false},
+		{"run ended before the final copy", nil, ErrRunNotFound, leaveFirstEngine, respondStream(lastChunk), whole, true, 0, false},
+		{"rejected by the second engine", nil, nil, leaveFirstEngine, reject, "12", false, 1, false},
+		{"broken off by the second engine", nil, nil, leaveFirstEngine, respondStream("", "3"), whole, false, 1, false},
+		{"second engine crashes", nil, nil, leaveFirstEngine, func(c net.Conn, r *http.Request) { s.crashEndpoint(1)(c, r); respondStream("", "3")(c, r) }, whole, false, 1, true},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -123,40 +123,40 @@
 				}
 			}
 			if events != row.events || (err == nil) != row.complete {
-				t.Errorf("events %s, error %v", events, err)
+				t.Errorf("got events %s and error %v, not those of the test case", events, err)
 			}
 			if s.gateway.crashProbes.waitDone(t); guard.IsIdle() == row.crashed {
-				t.Errorf("blamed for a crash: %v", !guard.IsIdle())
+				t.Errorf("blamed for a crash: got %v, want the opposite", !guard.IsIdle())
 			}
 			if got := s.endpoints[1].requestCount(); got != row.sent {
-				t.Errorf("the second engine was sent %d requests", got)
+				t.Errorf("the second engine got %d requests, not the number of the test case", got)
 			}
 			if row.sent == 1 && s.endpoints[1].requests[0].Header.Get(headerContinueFrom) != s.endpoints[0].address+"/h1" {
 				t.Errorf("%v", s.endpoints[1].requests[0].Header)
 			}
 			if s.endpoints[0].requestCount() != 1 {
-				t.Errorf("the first engine was sent %d requests", s.endpoints[0].requestCount())
+				t.Errorf("the first engine got %d requests, want 1", s.endpoints[0].requestCount())
 			}
 			copier.mu.Lock()
 			defer copier.mu.Unlock()
 			if wanted := row.first == nil && !moves; (len(copier.dropped) == 1) != wanted {
-				t.Errorf("copies freed: %v", copier.dropped)
+				t.Errorf("released copies: got %v, want one only if the final copy failed", copier.dropped)
 			}
 		})
 	}
 }
 
-// TestStoppedRunIsNotDelivered guards against a false end of a stream without a length: its run was stopped for a
-// move that failed, and the end of its connection is what ends a whole one too.
+// TestStoppedRunIsNotDelivered guards against treating a cut stream as complete. A stream that is delimited by the end of
+// its connection looks complete when its run is stopped for a relocation that then fails.
 func TestStoppedRunIsNotDelivered(t *testing.T) {
 	rows := []struct {
 		name     string
 		last     error
 		complete bool
 	}{
-		{"stopped, the copy found no room", ErrNoCapacity, false},
-		{"stop without an answer", io.ErrUnexpectedEOF, false},
-		{"ended before the stop", ErrRunNotFound, true},
+		{"stopped, no capacity for the final copy", ErrNoCapacity, false},
+		{"no answer to the final copy", io.ErrUnexpectedEOF, false},
+		{"run ended before the stop", ErrRunNotFound, true},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -175,13 +175,13 @@
 			}()
 			_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt", headerSegment+": part"))
 			if !strings.Contains(body, "id: 1") || (err == nil) != row.complete {
-				t.Errorf("%q %v", body, err)
+				t.Errorf("got %q, error %v; want event 1, and an error unless the run ended before the stop", body, err)
 			}
 		})
 	}
 }
 
-// useEngines makes a site's endpoints useEngines of one model, and has runs copied by copier.
+// useEngines makes the endpoints engines of one model, and has runs copied by copier.
 func (s *testServer) useEngines(copier RunCopier) {
 	state := s.gateway.State
 	state.SetRoutes(routes.New(2, 9, singleRoute(routes.Streaming, 1), []routes.Service{{Name: "s", Engine: &routes.Engine{Slots: 4}}},
@@ -190,15 +190,13 @@
 		state.SetInstance(discovery.Instance{ID: e.id, Revision: uint64(20 + i), Service: "s", Address: e.address, Domain: "a", Slots: 4, Model: "m", Weights: 1})
 	}
 	s.gateway.Copier, s.gateway.ContextTracker = copier, newContextTracker()
-	// Streams begin at the first engine.
+	// The second engine is loading, so streams begin at the first.
 	state.SetLoading("i-1", true)
 }
 
-// TestRelocationClosesSilentStream stops a run whose connection says nothing of it, as
-// one that fell silent.
-//
-// The caller gets the rest from the other engine all the same; its time does not pass before
-// a connection that nothing will come from.
+// TestRelocationClosesSilentStream guards against waiting, until the caller's deadline, for the
+// end of a connection that stays open and silent after its run was stopped. The caller gets the
+// rest from the other engine.
 func TestRelocationClosesSilentStream(t *testing.T) {
 	copier := &fakeCopier{firstCopied: make(chan struct{}), stopped: make(chan struct{})}
 	begun := make(chan struct{})
@@ -215,11 +213,11 @@
 	}()
 	_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt", headerSegment+": part"))
 	if err != nil || !strings.Contains(body, "id: 2") {
-		t.Errorf("%q %v", body, err)
+		t.Errorf("got %q, error %v, want event 2", body, err)
 	}
 }
 
-// blockingCopier answers the first copy when it is released.
+// blockingCopier blocks the first copy until released is closed.
 type blockingCopier struct {
 	fakeCopier
 	released chan struct{}
@@ -231,8 +229,8 @@
 	return "", ErrNoCapacity
 }
 
-// TestCompleteAnswerDoesNotWaitForCopy ends a stream while its first copy hangs: the
-// caller has its end though the copy is not released before.
+// TestCompleteAnswerDoesNotWaitForCopy guards against a complete stream whose end reaches the
+// caller only after a copy that hangs.
 func TestCompleteAnswerDoesNotWaitForCopy(t *testing.T) {
 	copier := &blockingCopier{fakeCopier: fakeCopier{firstCopied: make(chan struct{})}, released: make(chan struct{})}
 	defer close(copier.released)
@@ -250,19 +248,19 @@
 		leaveFirstEngine(s.gateway.State)
 	}()
 	if _, body, err := s.do(s.newRequest("POST", "/r/x", "prompt", headerSegment+": part")); err != nil || !strings.Contains(body, "id: 1") {
-		t.Errorf("%q %v", body, err)
+		t.Errorf("got %q, error %v, want event 1", body, err)
 	}
 }
 
-// leaveFirstEngine has the first engine leaveFirstEngine.
+// leaveFirstEngine marks the first engine as leaving.
 func leaveFirstEngine(s *discovery.State) {
 	i, _ := s.Instance("i-0")
 	i.Leaving, i.Revision = true, i.Revision+100
 	s.SetInstance(i)
 }
 
-// TestCopyIsDroppedWhenCallerLeaves lets a caller go between the two ends of a move: the
-// copy must not keep an engine's memory for nobody.
+// TestCopyIsDroppedWhenCallerLeaves guards against a copy that takes up an engine's memory
+// although its caller left after the run was copied, before it continued.
 func TestCopyIsDroppedWhenCallerLeaves(t *testing.T) {
 	copier := &fakeCopier{stopped: make(chan struct{})}
 	s := newTestServer(t, singleRoute(routes.Streaming, 1))
@@ -272,7 +270,7 @@
 	cancel()
 	x.abandon(&continuation{source: discovery.Instance{ID: "i-0", Address: "10.0.0.1:1"}, handle: "h1"})
 	if len(copier.dropped) != 1 || copier.dropped[0] != "h1" {
-		t.Errorf("copies freed: %v", copier.dropped)
+		t.Errorf("released copies: got %v, want [h1]", copier.dropped)
 	}
 }
 
@@ -282,17 +280,17 @@
 		s.SetInstance(discovery.Instance{ID: fmt.Sprint("e", n), Revision: 30, Service: "s", Address: fmt.Sprint("10.0.0.1:", n+1), Model: "m", Weights: 1})
 	}
 	if next := s.NextToLoad("e0"); len(next) != 0 {
-		t.Errorf("%v load though nothing is named", next)
+		t.Errorf("got %v, want none while no version is named", next)
 	}
 	s.SetTarget(discovery.TargetWeights{Model: "m", Version: 2})
 	s.SetLoading("e0", true)
 	s.ObserveWeights("e1", 2)
 	if next := s.NextToLoad("e0"); fmt.Sprint(next) != "[e2 e3]" {
-		t.Errorf("%v are next of e2 to e5", next)
+		t.Errorf("got %v, want [e2 e3] of e2 to e5", next)
 	}
 }
 
-// TestDrainingSignalsEachOrder has an endpoint carry out two orders.
+// TestDrainingSignalsEachOrder checks that an endpoint is reported as draining for each of two orders to load.
 func TestDrainingSignalsEachOrder(t *testing.T) {
 	s := newTestServer(t, singleRoute(routes.Streaming, 1)).gateway.State
 	s.SetInstance(discovery.Instance{ID: "e", Revision: 30, Service: "s", Address: "10.0.0.1:1", Model: "m", Weights: 1})
@@ -306,20 +304,20 @@
 	}
 	for range 2 {
 		if isSignaled() {
-			t.Error("told though nothing is ordered")
+			t.Error("signaled without an order")
 		}
 		s.SetLoading("e", true)
 		if !isSignaled() {
-			t.Error("not told of an order")
+			t.Error("not signaled after an order")
 		}
 		s.SetLoading("e", false)
 	}
 	if s.Draining("unknown") != nil {
-		t.Error("an unknown endpoint is watched")
+		t.Error("got a channel for an unknown endpoint, want nil")
 	}
 }
 
-// delayedCopier answers the last copy when the run's connection has ended.
+// delayedCopier delays the final copy until the run's connection has ended.
 type delayedCopier struct {
 	fakeCopier
 	ended chan struct{}
@@ -333,8 +331,8 @@
 	return l.fakeCopier.Copy(ctx, source, call, destination, last)
 }
 
-// TestDeadlineDuringRelocation guards against a destination that is taken for unreachable, and a copy that stays, as a run's time
-// ends during its move.
+// TestDeadlineDuringRelocation guards against treating the destination as unreachable, and against a copy that is never
+// released, when the request's deadline passes during the relocation of its run.
 func TestDeadlineDuringRelocation(t *testing.T) {
 	copier := &delayedCopier{fakeCopier{firstCopied: make(chan struct{}), stopped: make(chan struct{})}, make(chan struct{})}
 	begun := make(chan struct{})
@@ -352,15 +350,15 @@
 	}()
 	_, body, err := s.do(s.newRequest("POST", "/r/x", "prompt", headerSegment+": part", headerTimeLeft+": 600"))
 	if err == nil || !strings.Contains(body, "id: 1") {
-		t.Errorf("%q %v", body, err)
+		t.Errorf("got %q, error %v, want event 1 and an error", body, err)
 	}
 	if n := metrics.GetOrRegisterCounter("gateway.attempts.not_reached", s.gateway.Metrics).Count(); n != 0 {
-		t.Errorf("%d attempts after the time's end", n)
+		t.Errorf("got %d attempts that reached no endpoint, want none after the deadline", n)
 	}
 	if len(copier.dropped) != 1 {
-		t.Errorf("copies freed: %v", copier.dropped)
+		t.Errorf("released copies: got %v, want one", copier.dropped)
 	}
 	if work := s.gateway.Directory.OwnWork(); len(work) != 0 {
-		t.Errorf("counted as underway: %+v", work)
+		t.Errorf("still counted as in flight: %+v", work)
 	}
 }
--- a/internal/coordination/gateway/requestsizes.go
+++ b/internal/coordination/gateway/requestsizes.go
@@ -3,20 +3,22 @@
 import "sync"
 
 const (
-	// meanWeight of one prompt in its route's mean: some hundred make it.
+	// meanWeight is the weight of one request in the moving mean of its route: about the last
+	// hundred requests determine the mean.
 	meanWeight = 1.0 / 64
-	// maxRoutes bounds the routes remembered; names of routes that are gone are dropped
-	// with all others, which are known again after their next prompt.
+	// maxRoutes bounds the routes remembered. At the bound all are discarded, so that removed
+	// routes don't stay; the others are known again after their next request.
 	maxRoutes = 4096
 )
 
-// requestSizes keeps the mean size of each route's prompts, in tokens. Safe for concurrent use.
+// requestSizes keeps, for each route, the exponentially weighted moving mean of the tokens that a request holds: its prompt
+// and the bound of its output. It is safe for concurrent use.
 type requestSizes struct {
 	mu    sync.Mutex
 	means map[string]float64
 }
 
-// observe counts a prompt and returns its route's mean.
+// observe adds a request to its route's mean and returns the new mean.
 func (s *requestSizes) observe(route string, tokens int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/coordination/gateway/requestsizes_test.go
+++ b/internal/coordination/gateway/requestsizes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestRequestSizes keeps each route's mean apart, and forgets routes that come without end.
+// TestRequestSizes checks that each route has its own mean, and that the number of routes remembered is bounded.
 func TestRequestSizes(t *testing.T) {
 	var s requestSizes
 	for range 1000 {
@@ -16,13 +16,13 @@
 	}
 	for route, want := range map[string]int{"large": 20_000, "small": 100, "mixed": 2000} {
 		if got := s.observe(route, want); got < want*9/10 || got > want*11/10 {
-			t.Errorf("%s: %d, want about %d", route, got, want)
+			t.Errorf("%s: got a mean of %d, want about %d", route, got, want)
 		}
 	}
 	for i := range 3 * maxRoutes {
 		s.observe(fmt.Sprint("r", i), 1)
 	}
 	if len(s.means) > maxRoutes {
-		t.Errorf("%d routes kept", len(s.means))
+		t.Errorf("got %d routes, want at most maxRoutes", len(s.means))
 	}
 }
--- a/internal/coordination/gateway/stop_test.go
+++ b/internal/coordination/gateway/stop_test.go
@@ -23,7 +23,7 @@
 	"limpetwall/internal/transport/upstream"
 )
 
-// startStoppable serves a site's gateway such that a test can cut its requests by a forced stop.
+// startStoppable serves the gateway in such a way that calling stop cuts its requests, as a forced stop does.
 func (s *testServer) startStoppable() (stop func()) {
 	hard, cut := context.WithCancelCause(context.Background())
 	s.server = httptest.NewUnstartedServer(s.gateway)
@@ -33,7 +33,7 @@
 	return func() { cut(runs.ErrStopping) }
 }
 
-// blockAfter tells, once, that a script is played to its end and that its endpoint waits.
+// blockAfter returns a responder that calls before, sends on waiting, and then blocks until the connection closes.
 func blockAfter(waiting chan<- struct{}, before responder) responder {
 	return func(c net.Conn, r *http.Request) {
 		before(c, r)
@@ -44,36 +44,37 @@
 
 // TestForcedStopAnswersCallers forces a stop at each stage of a request.
 //
-// Callers that still waited got the connection's end in place of an answer, and the request's
-// line said that they had left: the stop ended the requests' contexts just as a caller that
-// leaves does. What is said must be true: 503, after which callers send again, only if no
-// endpoint can have run the request; a stream that has begun must not look whole.
+// A stop ends the requests' contexts just as a caller that leaves does: waiting callers used to get
+// a closed connection in place of an answer, and were logged as having left. The answer must also be
+// true: 503, after which callers retry, only if no endpoint can have run the request. A stream that
+// has begun must not look complete.
 func TestForcedStopAnswersCallers(t *testing.T) {
 	const order = "Content-Length: 5\r\n\r\norder"
 	rows := []struct {
 		name string
 		kind routes.Kind
-		// before is what the endpoint that is asked first says, then it waits.
+		// before is what the blocking endpoint writes before it blocks.
 		before responder
-		// second is what an endpoint says before that one is asked; nil if there is none.
+		// second is what another endpoint answers before the blocking one gets the request; nil if
+		// there is no other.
 		second responder
-		// unreachable endpoints can't be connected to, but for the first connection with second.
+		// unreachable makes all dials block, except the first one if second is set.
 		unreachable bool
 		sent        string
 		got         receipt.Receipt
 		status      int
 		code        string
 	}{
-		{"an order at work", routes.NonIdempotent, closeConn, nil, false, order, receipt.Refusal, 502, "outcome_unknown"},
-		{"what may be repeated", routes.Idempotent, closeConn, nil, false, order, receipt.Refusal, 502, "outcome_unknown"},
-		{"a stream before its first event", routes.Streaming, closeConn, nil, false, order, receipt.Refusal, 502, "outcome_unknown"},
-		{"a stream", routes.Streaming, respondStream("", "1"), nil, false, order, receipt.Part, 200, "outcome_unknown"},
-		{"a failure kept", routes.Idempotent, closeConn, respond(500, "sorry"), false, order, receipt.Answer, 500, "answered"},
-		{"rejected, and at work", routes.NonIdempotent, closeConn, reject, false, order, receipt.Refusal, 502, "outcome_unknown"},
+		{"non-idempotent, running", routes.NonIdempotent, closeConn, nil, false, order, receipt.Refusal, 502, "outcome_unknown"},
+		{"idempotent, running", routes.Idempotent, closeConn, nil, false, order, receipt.Refusal, 502, "outcome_unknown"},
+		{"stream before its first event", routes.Streaming, closeConn, nil, false, order, receipt.Refusal, 502, "outcome_unknown"},
+		{"begun stream", routes.Streaming, respondStream("", "1"), nil, false, order, receipt.Part, 200, "outcome_unknown"},
+		{"failed, and running again", routes.Idempotent, closeConn, respond(500, "sorry"), false, order, receipt.Answer, 500, "answered"},
+		{"rejected, and running", routes.NonIdempotent, closeConn, reject, false, order, receipt.Refusal, 502, "outcome_unknown"},
 		{"rejected, and not reached", routes.NonIdempotent, closeConn, reject, true, order, receipt.Refusal, 503, "stopping"},
 		{"not reached", routes.NonIdempotent, closeConn, nil, true, order, receipt.Refusal, 503, "stopping"},
-		{"a body underway", routes.NonIdempotent, closeConn, nil, false, "Content-Length: 5\r\n\r\nor", receipt.Refusal, 503, "stopping"},
-		{"a chunked body underway", routes.NonIdempotent, closeConn, nil, false, "Transfer-Encoding: chunked\r\n\r\n5\r\nor", receipt.Refusal, 503, "stopping"},
+		{"incomplete body", routes.NonIdempotent, closeConn, nil, false, "Content-Length: 5\r\n\r\nor", receipt.Refusal, 503, "stopping"},
+		{"incomplete chunked body", routes.NonIdempotent, closeConn, nil, false, "Transfer-Encoding: chunked\r\n\r\n5\r\nor", receipt.Refusal, 503, "stopping"},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -98,7 +99,7 @@
 			case row.got == receipt.Part:
 				<-waiting
 				if line, err := reader.ReadString('\n'); err != nil || line != "HTTP/1.1 200 OK\r\n" {
-					t.Fatalf("%q %v", line, err)
+					t.Fatalf("status line: got %q, error %v, want 200 OK", line, err)
 				}
 			default:
 				<-waiting
@@ -109,48 +110,48 @@
 			s.server.Close()
 			line := lines.FilterMessage("request").All()[0].ContextMap()
 			if line["caller_got"] != string(row.got) || line["caller_status"] != int64(row.status) {
-				t.Errorf("the line says %v, status %v; want %v, %v", line["caller_got"], line["caller_status"], row.got, row.status)
+				t.Errorf("logged: got caller_got %v, caller_status %v; want %v, %v", line["caller_got"], line["caller_status"], row.got, row.status)
 			}
 			counter := "gateway.requests." + row.kind.String() + "." + row.code
 			if n := metrics.GetOrRegisterCounter(counter, s.gateway.Metrics).Count(); n != 1 {
-				t.Errorf("%s is %d", counter, n)
+				t.Errorf("%s: got %d, want 1", counter, n)
 			}
 		})
 	}
 }
 
-// sendRaw opens a connection and sends a request whose framing and body are given.
+// sendRaw opens a connection and sends a request; framed holds its framing header and body.
 func (s *testServer) sendRaw(framed string) net.Conn {
 	c, err := net.Dial("tcp", s.server.Listener.Addr().String())
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { c.Close() })
-	// A caller that gets neither an answer nor the connection's end must not hang the test.
+	// The test must not hang if the gateway neither answers nor closes the connection.
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	fmt.Fprintf(c, "POST /r/x HTTP/1.1\r\nHost: h\r\n%s: id-1\r\n%s: key\r\n%s", headerID, headerKey, framed)
 	return c
 }
 
-// waitInFlight waits until the gateway has a request.
+// waitInFlight waits until the gateway has a request in flight.
 func (s *testServer) waitInFlight() {
 	for s.gateway.InFlight() == 0 {
 		runtime.Gosched()
 	}
 }
 
-// checkAnswer reads what a caller gets of a request that is cut.
+// checkAnswer checks what the caller gets of a request that was cut.
 func (s *testServer) checkAnswer(r *bufio.Reader, got receipt.Receipt, status int) {
 	s.t.Helper()
 	if got == receipt.Part {
 		if rest, err := io.ReadAll(r); strings.HasSuffix(string(rest), lastChunk) {
-			s.t.Errorf("the stream ends as if it were whole: %q %v", rest, err)
+			s.t.Errorf("the cut stream ends as a complete one does: got %q, error %v", rest, err)
 		}
 		return
 	}
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
-		s.t.Errorf("the caller got %v, want status %d", err, status)
+		s.t.Errorf("the caller got error %v, want status %d", err, status)
 		return
 	}
 	body, err := io.ReadAll(resp.Body)
@@ -158,14 +159,14 @@
 		s.t.Errorf("the caller got %v, %q, %v; want status %d", resp, body, err, status)
 	}
 	if hasRetryAfter := resp.Header.Get("Retry-After") != ""; hasRetryAfter != (status == http.StatusServiceUnavailable) {
-		s.t.Errorf("told to come back: %v", hasRetryAfter)
+		s.t.Errorf("got a Retry-After header: %v; want one with status 503 only", hasRetryAfter)
 	}
 	if ran := resp.Header.Get("X-Limpetwall-Ran"); got == receipt.Refusal && (ran == "no") != (status == http.StatusServiceUnavailable) {
-		s.t.Errorf("%d with ran: %q", status, ran)
+		s.t.Errorf("status %d with X-Limpetwall-Ran %q; want \"no\" with 503 only", status, ran)
 	}
 }
 
-// blockingDial opens no connection, but for the first one if it may.
+// blockingDial returns a dial function that blocks until its context ends. If first is true, the first dial succeeds.
 func blockingDial(waiting chan<- struct{}, first bool) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		if first {
@@ -178,8 +179,8 @@
 	}
 }
 
-// TestCallerLeftBeforeForcedStop lets a caller leave, and forces the stop before its request
-// has ended: it is still one that left and got nothing.
+// TestCallerLeftBeforeForcedStop guards against logging an answer to a caller that had already left
+// when the stop was forced.
 func TestCallerLeftBeforeForcedStop(t *testing.T) {
 	waiting := make(chan struct{}, 1)
 	s := newTestServer(t, singleRoute(routes.NonIdempotent, 1), closeConn)
@@ -202,9 +203,9 @@
 	s.server.Close()
 	line := lines.FilterMessage("request").All()[0].ContextMap()
 	if _, hasStatus := line["caller_status"]; hasStatus || line["caller_got"] != string(receipt.Nothing) {
-		t.Errorf("the line says %v, status %v", line["caller_got"], line["caller_status"])
+		t.Errorf("logged: got caller_got %v, caller_status %v; want nothing and no status", line["caller_got"], line["caller_status"])
 	}
 	if n := metrics.GetOrRegisterCounter("gateway.requests.non_idempotent.left", s.gateway.Metrics).Count(); n != 1 {
-		t.Errorf("%d callers left", n)
+		t.Errorf("got %d requests counted as left by their callers, want 1", n)
 	}
 }
--- a/internal/coordination/gateway/sync.go
+++ b/internal/coordination/gateway/sync.go
@@ -9,8 +9,8 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// RunEndpointSync keeps the directory's picture of the endpoints' fixed properties, and
-// the connections to them, in step with discovery until ctx ends.
+// RunEndpointSync updates the endpoints' fixed properties in the directory, and the
+// connections to endpoints, with every change in discovery until ctx ends.
 func (g *Gateway) RunEndpointSync(ctx context.Context) {
 	const sweepInterval = time.Second
 	ticker := time.NewTicker(sweepInterval)
@@ -29,7 +29,8 @@
 	}
 }
 
-// syncEndpoints returns what stands at each address, given what stood there before.
+// syncEndpoints applies the state of discovery. It takes the incarnations at each address
+// that the previous call returned, and returns the current ones.
 func (g *Gateway) syncEndpoints(previous map[string]fleet.Incarnation) map[string]fleet.Incarnation {
 	table := g.State.Routes()
 	if table == nil {
@@ -53,16 +54,17 @@
 		}
 		g.Directory.SetProperties(i.ID, properties, now)
 	}
-	// A request that finds the weights known reads the engines: in the other order one
-	// that comes between the two would find none, and its connection would break.
+	// engineHashes must be set before weights: a request that finds weights known reads
+	// engineHashes, which would otherwise be nil for a request that comes between the two,
+	// and its connection would break.
 	g.engineHashes.Store(&endpoints)
 	g.weights.Store(&weights)
 	if g.ContextTracker != nil {
 		g.ContextTracker.SetEngines(engines)
 	}
 	for address, incarnation := range previous {
-		// What was open to an earlier start is dead: a request sent on it would be lost
-		// without a word of whether it ran.
+		// Connections to a previous incarnation are dead: a request sent on one would be
+		// lost, and whether it ran would be unknown.
 		if current[address] != incarnation {
 			g.Pool.Forget(address)
 		}
@@ -70,8 +72,8 @@
 	return current
 }
 
-// RunContextCleanup frees context of replaced weights, in the process that holds the
-// rollout lease, until ctx ends.
+// RunContextCleanup frees the stored context of replaced weights until ctx ends. Only the
+// process that holds the rollout lease does so.
 func (g *Gateway) RunContextCleanup(ctx context.Context) {
 	const interval = time.Second
 	ticker := time.NewTicker(interval)
@@ -88,7 +90,7 @@
 	}
 }
 
-// oldestWeights is the oldest version of each model that an endpoint may have.
+// oldestWeights returns, for each model, the oldest weight version that an endpoint may have.
 func (g *Gateway) oldestWeights() map[string]int64 {
 	oldest := map[string]int64{}
 	for _, i := range g.State.Instances() {
@@ -99,8 +101,8 @@
 	return oldest
 }
 
-// newestWeights is the newest version of a model that an endpoint serves, 0 if none is
-// known.
+// newestWeights returns the newest weight version of a model that an endpoint serves, 0 if
+// none is known.
 func (g *Gateway) newestWeights(model string) int64 {
 	if known := g.weights.Load(); known != nil {
 		return (*known)[model]
--- a/internal/coordination/gateway/sync_test.go
+++ b/internal/coordination/gateway/sync_test.go
@@ -12,12 +12,12 @@
 	"limpetwall/internal/state/routes"
 )
 
-// TestConnectionsToPreviousIncarnationAreDiscarded lets an endpoint start again under its id, at its address,
-// while a connection to it is idle.
+// TestConnectionsToPreviousIncarnationAreDiscarded guards against sending a request on an idle connection to
+// an endpoint that has restarted with its ID and address since.
 //
-// The connection is dead, though nothing has told this process so. A request that may not be
-// repeated would be lost on it: it must go out on a new one. Without a restart the
-// connection is kept.
+// Such a connection is dead, but nothing has closed it for this process. A request that must not
+// be repeated would be lost on it, so it must be sent on a new one. Without a restart the
+// connection is reused.
 func TestConnectionsToPreviousIncarnationAreDiscarded(t *testing.T) {
 	var connections atomic.Int64
 	endpoint := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -39,7 +39,7 @@
 		})
 		known = s.gateway.syncEndpoints(known)
 		if resp, _, err := s.do(s.newRequest("PUT", "/r/x", "b")); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("%v %v", resp, err)
+			t.Fatalf("got %v %v, want status 200", resp, err)
 		}
 		if got := connections.Load(); got != row.connections {
 			t.Errorf("request %d: %d connections were opened, want %d", n+1, got, row.connections)
--- a/internal/coordination/gateway/weights.go
+++ b/internal/coordination/gateway/weights.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// MaxWeightQueries bounds the engines that wait to be asked; one that finds no room is named
-	// again by its next rejection.
+	// MaxWeightQueries bounds the engines that wait to be queried. One that does not fit is
+	// enqueued again with its next rejection.
 	MaxWeightQueries = 64
-	// queryInterval is the shortest time between two questions to one engine: each counts as a
-	// health check there, and its answer is some 100 ms old.
+	// queryInterval is the shortest time between two queries to one engine: the engine counts
+	// each as a health check, and its answer is some 100 ms old.
 	queryInterval = 250 * time.Millisecond
-	// queryTimeout bounds one question.
+	// queryTimeout bounds one query.
 	queryTimeout = 500 * time.Millisecond
 )
 
-// enqueueWeightQuery has an engine asked which weights it has. It rejected a prompt that named those
-// which the store told of: a process that the store does not answer hears nothing of a
-// rollout, and every engine that has loaded would reject all it sends for as long as that
-// lasts.
+// enqueueWeightQuery has an engine queried for its weight version after it rejected a prompt
+// for the version known from the store. A process that can't reach the store does not learn of
+// a rollout: for as long as that lasts, every engine that has loaded new weights would reject
+// all its prompts.
 func (g *Gateway) enqueueWeightQuery(id string) {
 	if g.WeightQueries != nil && !g.WeightQueries.TryPush(id) {
 		g.count("doubts_dropped")
 	}
 }
 
-// RunWeightQueries asks the engines in doubt until ctx ends.
+// RunWeightQueries queries the enqueued engines until ctx ends.
 func (g *Gateway) RunWeightQueries(ctx context.Context) {
 	lastQuery := map[string]time.Time{}
 	for {
@@ -66,20 +66,20 @@
 		g.State.MarkMisdirected(id)
 	}
 	if err != nil {
-		g.Log.Info("engine does not tell its weights", zap.String("endpoint", id), zap.Error(err))
+		g.Log.Info("failed to query an engine's weight version", zap.String("endpoint", id), zap.Error(err))
 		return
 	}
 	g.State.ObserveStart(id, report.Born, report.Weights)
 	g.State.ObserveWeights(id, report.Weights)
 }
 
-// EngineReport is what an engine says of itself when it is asked.
+// EngineReport is an engine's answer to a query for its weight version.
 type EngineReport struct {
-	// Born is its start, 0 if it does not say.
+	// Born is the Unix millisecond of the engine's start, 0 if not reported.
 	Born int64
-	// Weights is the version of its model.
+	// Weights is the version of its model's weights.
 	Weights int64
 }
 
-// QueryWeightsFunc asks an engine for the version of its model.
+// QueryWeightsFunc queries an engine for the version of its model's weights.
 type QueryWeightsFunc func(ctx context.Context, i discovery.Instance) (EngineReport, error)
--- a/internal/coordination/gateway/weights_test.go
+++ b/internal/coordination/gateway/weights_test.go
@@ -17,16 +17,16 @@
 	"limpetwall/internal/transport/ring"
 )
 
-// newContextTracker returns a keeper that knows no store.
+// newContextTracker returns a tracker that knows no store.
 func newContextTracker() *contextcache.Tracker {
 	return contextcache.NewTracker(nil, zap.NewNop(), "a", time.Now)
 }
 
-// TestRunThatDoesNotBeginBeforeWeightsAreReplaced sends a prompt to an endpoint whose weights are
-// replaced meanwhile; it waits in the endpoint's queue.
+// TestRunThatDoesNotBeginBeforeWeightsAreReplaced sends a prompt that waits in an endpoint's queue
+// while the endpoint's weights are replaced.
 //
-// Before the endpoint could begin with the old weights the request is given up, its
-// connection closes, and the caller is told at once.
+// The request is given up before the endpoint could begin it with the old weights: its connection
+// is closed, and the caller gets an answer at once.
 func TestRunThatDoesNotBeginBeforeWeightsAreReplaced(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	s := newTestServer(t, singleRoute(routes.Streaming, 1), func(c net.Conn, _ *http.Request) {
@@ -39,19 +39,19 @@
 	state.SetTarget(discovery.TargetWeights{Model: "m", Version: 2})
 	resp, _, err := s.do(s.newRequest("POST", "/r/x", "prompt"))
 	if err != nil || resp.StatusCode != 502 || resp.Header.Get("X-Limpetwall-Ran") != "unknown" {
-		t.Errorf("%v %v", resp, err)
+		t.Errorf("got %v %v, want a 502 with unknown outcome", resp, err)
 	}
 	<-closed
 }
 
-// TestEngineIsQueriedAfterWeightMismatch sends prompts to an engine that has loaded new weights,
-// from a process that the store does not answer.
+// TestEngineIsQueriedAfterWeightMismatch guards against a process that can't reach the store and
+// has all its prompts rejected by an engine that has loaded new weights.
 //
-// The engine rejects what names the old ones. Asked, it tells what it has, and the next
-// prompt names that; a crowd of rejections asks once.
+// The engine rejects prompts for the old weights. It is queried for its version, which the next
+// prompt names; several rejections cause one query.
 func TestEngineIsQueriedAfterWeightMismatch(t *testing.T) {
 	list := singleRoute(routes.Streaming, 1)
-	// The engine closes each connection: the next prompt must not go out on it.
+	// The engine closes each connection, so the next prompt must not be sent on it.
 	misdirect := respond(421, "")
 	s := newTestServer(t, list, func(c net.Conn, r *http.Request) {
 		if r.Header.Get(headerWeights) != "2" {
@@ -83,7 +83,7 @@
 	const rejections = 3
 	for range rejections {
 		if status := prompt(); status != 503 {
-			t.Errorf("old weights get %d", status)
+			t.Errorf("prompt for the old weights: got status %d, want 503", status)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -97,9 +97,9 @@
 		runtime.Gosched()
 	}
 	if status := prompt(); status != 200 {
-		t.Errorf("the weights that it told of get %d", status)
+		t.Errorf("prompt for the reported weights: got status %d, want 200", status)
 	}
 	if len(queried) > 0 {
-		t.Errorf("asked %d times more", len(queried))
+		t.Errorf("got %d further queries, want none", len(queried))
 	}
 }
