--- a/bench/capacity/fleet.go
+++ b/bench/capacity/fleet.go
@@ -188,7 +188,7 @@
 		return err
 	}
 	b.group.Go(func() { n.node.Run(b.ctx) })
-	b.group.Go(func() { n.node.ReportDuty(b.ctx, busyLoad) })
+	b.group.Go(func() { n.node.RunReports(b.ctx, busyLoad) })
 	return nil
 }
 
--- a/internal/command/base.go
+++ b/internal/command/base.go
@@ -75,7 +75,7 @@
 	drain := set.Duration("drain-timeout", 10*time.Minute, 0, 24*time.Hour, "time for requests underway when stopping")
 	report := set.Duration("report-every", 500*time.Millisecond, 50*time.Millisecond, time.Minute, "shortest period of reports to the fleet")
 	set.Check(func(l *finding.List) {
-		b.DrainTimeout, b.Spread.ReportEvery = *drain, *report
+		b.DrainTimeout, b.Spread.ReportInterval = *drain, *report
 		b.check(l)
 	})
 	return b
@@ -191,7 +191,7 @@
 		b.Spread.Seeds = strings.Split(b.Seeds, ",")
 	}
 	p.node = gossip.New(b.Spread, table, p.store, p.log, hostlist.NewClient(b.HostList, client), p.pool, logger)
-	wire.RegisterPeerServer(p.server, &gossip.Server{Node: p.node, Burn: burn})
+	wire.RegisterPeerServer(p.server, &gossip.Server{Node: p.node, ErrorBudget: burn})
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	// Until it is told to stop, nothing waits for a drain.
 	p.drain, p.endDrain = context.WithCancel(context.Background())
--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -112,7 +112,7 @@
 	p.run(e.ReportsDuty)
 	p.run(e.Rollout.Duty)
 	p.run(func(ctx context.Context) {
-		p.node.ReportDuty(ctx, func() fleet.Load { return fleet.Load{Running: e.Inflight()} })
+		p.node.RunReports(ctx, func() fleet.Load { return fleet.Load{Running: e.Inflight()} })
 	})
 	failed := make(chan error, 1)
 	p.run(func(context.Context) { failed <- serveCallers(server, listener, s, p.zap) })
--- a/internal/coordination/agent/agent.go
+++ b/internal/coordination/agent/agent.go
@@ -105,7 +105,7 @@
 		group.Go(func() { a.mover.FollowEvents(ctx, a.cfg.StatusEvery) })
 		group.Go(func() { a.mover.RunExports(ctx) })
 	}
-	group.Go(func() { a.node.ReportDuty(ctx, a.load) })
+	group.Go(func() { a.node.RunReports(ctx, a.load) })
 	group.Wait()
 }
 
--- a/internal/coordination/gossip/node.go
+++ b/internal/coordination/gossip/node.go
@@ -21,8 +21,8 @@
 	"limpetwall/internal/transport/ring"
 )
 
-// ErrNoSource tells that neither the platform nor a peer gave the configuration.
-const ErrNoSource = errors.ConstError("no source of configuration answered")
+// ErrNoConfigSource tells that neither the platform nor a peer gave the configuration.
+const ErrNoConfigSource = errors.ConstError("no source of configuration answered")
 
 // Peers reaches other processes by address.
 type Peers interface {
@@ -34,8 +34,8 @@
 
 // Config tunes a node.
 type Config struct {
-	// ProbeEvery is the period of the probe duty.
-	ProbeEvery time.Duration
+	// ProbeInterval is the period of the probe duty.
+	ProbeInterval time.Duration
 	// ProbeTimeout bounds one exchange: who takes longer is asked for indirectly.
 	ProbeTimeout time.Duration
 	// CallTimeout bounds any other call to a peer.
@@ -48,24 +48,24 @@
 	Contacts int
 	// WatchersPerDomain members of each failure domain watch the platform.
 	WatchersPerDomain int
-	// WatchEpoch is how long a choice of watchers and contacts stands.
-	WatchEpoch time.Duration
-	// WatchWait bounds one waiting watch.
-	WatchWait time.Duration
-	// HostsEvery is the period of a watcher's reads of the host list.
-	HostsEvery time.Duration
-	// PlatformStale is the age of platform knowledge after which a member that
+	// EpochLength is how long a choice of watchers and contacts stands.
+	EpochLength time.Duration
+	// WatchTimeout bounds one waiting watch.
+	WatchTimeout time.Duration
+	// HostListInterval is the period of a watcher's reads of the host list.
+	HostListInterval time.Duration
+	// PlatformStaleAfter is the age of platform knowledge after which a member that
 	// is no watcher reads the platform itself.
-	PlatformStale time.Duration
-	// RescueRate is the number of such reads a second of the whole fleet.
-	RescueRate float64
-	// ReconnectEvery is the period of tries to reach members thought dead.
-	ReconnectEvery time.Duration
+	PlatformStaleAfter time.Duration
+	// FallbackReadRate is the number of such reads a second of the whole fleet.
+	FallbackReadRate float64
+	// ReconnectInterval is the period of tries to reach members thought dead.
+	ReconnectInterval time.Duration
 	// RowsPerExchange and ReportsPerExchange bound one message.
 	RowsPerExchange    int
 	ReportsPerExchange int
-	// ReportEvery is the shortest period of this process's reports.
-	ReportEvery time.Duration
+	// ReportInterval is the shortest period of this process's reports.
+	ReportInterval time.Duration
 	// Seeds are addresses to start from when the host list does not answer.
 	Seeds []string
 }
@@ -73,11 +73,11 @@
 // DefaultConfig is what processes use.
 func DefaultConfig() Config {
 	return Config{
-		ProbeEvery: 500 * time.Millisecond, ProbeTimeout: 400 * time.Millisecond, CallTimeout: time.Second, Successors: 3, Fanout: 3, Contacts: 12,
-		WatchersPerDomain: 2, WatchEpoch: 10 * time.Minute, WatchWait: 10 * time.Second,
-		HostsEvery: time.Second, PlatformStale: 15 * time.Second, RescueRate: 20,
-		ReconnectEvery: 10 * time.Second, RowsPerExchange: 12, ReportsPerExchange: 3,
-		ReportEvery: 500 * time.Millisecond,
+		ProbeInterval: 500 * time.Millisecond, ProbeTimeout: 400 * time.Millisecond, CallTimeout: time.Second, Successors: 3, Fanout: 3, Contacts: 12,
+		WatchersPerDomain: 2, EpochLength: 10 * time.Minute, WatchTimeout: 10 * time.Second,
+		HostListInterval: time.Second, PlatformStaleAfter: 15 * time.Second, FallbackReadRate: 20,
+		ReconnectInterval: 10 * time.Second, RowsPerExchange: 12, ReportsPerExchange: 3,
+		ReportInterval: 500 * time.Millisecond,
 	}
 }
 
@@ -178,7 +178,7 @@
 }
 
 func (n *Node) probeDuty(ctx context.Context) {
-	for pause.For(ctx, jitter(n.cfg.ProbeEvery)) {
+	for pause.For(ctx, jitter(n.cfg.ProbeInterval)) {
 		if target, ok := n.probeTarget(); ok {
 			// A slow answer must not delay the next probe: with it, one dead
 			// successor would hide the death of another.
@@ -245,7 +245,7 @@
 }
 
 func (n *Node) epoch() uint64 {
-	return uint64(time.Now().UnixNano() / int64(n.cfg.WatchEpoch))
+	return uint64(time.Now().UnixNano() / int64(n.cfg.EpochLength))
 }
 
 func (n *Node) pushDuty(ctx context.Context) {
@@ -263,8 +263,8 @@
 	}
 }
 
-// ReportDuty tells the fleet this process's load and the revision in force.
-func (n *Node) ReportDuty(ctx context.Context, load func() fleet.Load) {
+// RunReports tells the fleet this process's load and the revision in force.
+func (n *Node) RunReports(ctx context.Context, load func() fleet.Load) {
 	for version := uint64(1); ; version++ {
 		self := n.table.Self()
 		n.table.SetReport(fleet.Report{
@@ -283,9 +283,9 @@
 // some times. In a large fleet the reports that come with answers are fresher.
 func (n *Node) reportPeriod() time.Duration {
 	const messagesPerProbe = 2
-	perSecond := float64(messagesPerProbe*n.cfg.ReportsPerExchange) / n.cfg.ProbeEvery.Seconds()
+	perSecond := float64(messagesPerProbe*n.cfg.ReportsPerExchange) / n.cfg.ProbeInterval.Seconds()
 	sends := float64(n.table.Size() * n.table.ReportSends())
-	return max(n.cfg.ReportEvery, time.Duration(sends/perSecond*float64(time.Second)))
+	return max(n.cfg.ReportInterval, time.Duration(sends/perSecond*float64(time.Second)))
 }
 
 // exchange runs one gossip round with a peer.
@@ -416,7 +416,7 @@
 }
 
 func (n *Node) expireDuty(ctx context.Context) {
-	for pause.For(ctx, n.cfg.ProbeEvery/2) {
+	for pause.For(ctx, n.cfg.ProbeInterval/2) {
 		for _, m := range n.table.Expire(time.Now()) {
 			n.zap.Info("member dead", zap.String("member", m.ID), zap.String("host", m.Host))
 			n.Announce()
@@ -428,7 +428,7 @@
 // sides hold the other for dead and would never speak again by themselves; one
 // exchange lets the member refute, and the news spreads from there.
 func (n *Node) reconnectDuty(ctx context.Context) {
-	for pause.For(ctx, jitter(n.cfg.ReconnectEvery)) {
+	for pause.For(ctx, jitter(n.cfg.ReconnectInterval)) {
 		dead := n.table.DeadMembers()
 		if len(dead) > 0 {
 			m := dead[rand.IntN(len(dead))]
--- a/internal/coordination/gossip/platform.go
+++ b/internal/coordination/gossip/platform.go
@@ -36,7 +36,7 @@
 			if !pause.For(ctx, n.rescueWait()) {
 				return
 			}
-			if n.isWatcher() || n.platformAge() < n.cfg.PlatformStale {
+			if n.isWatcher() || n.platformAge() < n.cfg.PlatformStaleAfter {
 				continue
 			}
 		}
@@ -56,7 +56,7 @@
 // rescueWait is drawn from an interval that grows with the fleet, so that all
 // members together read at most RescueRate times a second.
 func (n *Node) rescueWait() time.Duration {
-	spread := time.Duration(float64(n.table.Size()) / n.cfg.RescueRate * float64(time.Second))
+	spread := time.Duration(float64(n.table.Size()) / n.cfg.FallbackReadRate * float64(time.Second))
 	return time.Second + time.Duration(rand.Float64()*2*float64(spread))
 }
 
@@ -67,10 +67,10 @@
 }
 
 func (n *Node) readHead(ctx context.Context, after configlog.Head) (configlog.Head, error) {
-	ctx, cancel := context.WithTimeout(ctx, n.cfg.WatchWait+5*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, n.cfg.WatchTimeout+5*time.Second)
 	defer cancel()
 	n.countPlatform()
-	head, err := n.log.Watch(ctx, after, n.cfg.WatchWait)
+	head, err := n.log.Watch(ctx, after, n.cfg.WatchTimeout)
 	if err != nil {
 		return after, err
 	}
@@ -94,7 +94,7 @@
 // hostsDuty reads the host list while this process is a watcher and spreads
 // which hosts are leaving.
 func (n *Node) hostsDuty(ctx context.Context) {
-	for pause.For(ctx, jitter(n.cfg.HostsEvery)) {
+	for pause.For(ctx, jitter(n.cfg.HostListInterval)) {
 		if n.hosts == nil || !n.isWatcher() {
 			continue
 		}
@@ -147,7 +147,7 @@
 // has heard from it lately.
 func (n *Node) Join(ctx context.Context) error {
 	reached := n.join(ctx)
-	if reached && n.platformAge() < n.cfg.PlatformStale {
+	if reached && n.platformAge() < n.cfg.PlatformStaleAfter {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*n.cfg.CallTimeout)
@@ -158,7 +158,7 @@
 		err = n.catchUp(ctx, head)
 	}
 	if err != nil && !reached {
-		return ErrNoSource
+		return ErrNoConfigSource
 	}
 	return nil
 }
--- a/internal/coordination/gossip/server.go
+++ b/internal/coordination/gossip/server.go
@@ -10,8 +10,8 @@
 type Server struct {
 	wire.UnimplementedPeerServer
 	Node *Node
-	// Burn returns this process's burn snapshot as JSON; nil where there is none.
-	Burn func() ([]byte, error)
+	// ErrorBudget returns the error-budget snapshot of this process as JSON; nil where there is none.
+	ErrorBudget func() ([]byte, error)
 }
 
 // Exchange implements wire.PeerServer.
@@ -36,9 +36,9 @@
 
 // BurnReport implements wire.PeerServer.
 func (s *Server) BurnReport(context.Context, *wire.BurnReportRequest) (*wire.BurnReportResponse, error) {
-	if s.Burn == nil {
+	if s.ErrorBudget == nil {
 		return &wire.BurnReportResponse{Snapshot: []byte("{}")}, nil
 	}
-	data, err := s.Burn()
+	data, err := s.ErrorBudget()
 	return &wire.BurnReportResponse{Snapshot: data}, err
 }
