--- a/internal/coordination/quarantine/bench_test.go
+++ b/internal/coordination/quarantine/bench_test.go
@@ -7,7 +7,7 @@
 	"limpetwall/internal/state/fingerprint"
 )
 
-// newFullTracker holds as many suspects as a book takes, at 64 crashes.
+// newFullTracker returns a tracker with as many suspects as it takes, at 64 crashes.
 func newFullTracker() *Tracker {
 	tracker := NewTracker()
 	for i := range maxRecords - 1 {
@@ -16,7 +16,7 @@
 	return tracker
 }
 
-// BenchmarkCheck is what a request costs while the book is full.
+// BenchmarkCheck measures what a request costs while the tracker is full.
 func BenchmarkCheck(b *testing.B) {
 	tracker, key := newFullTracker(), keyOf("other")
 	for b.Loop() {
@@ -24,7 +24,7 @@
 	}
 }
 
-// BenchmarkEvaluate is what a full book costs four times a second.
+// BenchmarkEvaluate measures what a full tracker costs four times a second.
 func BenchmarkEvaluate(b *testing.B) {
 	tracker := newFullTracker()
 	for b.Loop() {
@@ -32,7 +32,7 @@
 	}
 }
 
-// BenchmarkFingerprint is what a request with a body of 16 KB costs while any suspect is known.
+// BenchmarkFingerprint measures what a request with a body of 16 KB costs while any suspect is known.
 func BenchmarkFingerprint(b *testing.B) {
 	body := make([]byte, 16<<10)
 	for b.Loop() {
--- a/internal/coordination/quarantine/blame.go
+++ b/internal/coordination/quarantine/blame.go
@@ -8,49 +8,51 @@
 )
 
 const (
-	// minBlamedCrashes a request must have been at, with no likelier culprit at any of them: fewer coincide by
-	// chance while endpoints are killed one after the other.
+	// minBlamedCrashes is at how many crashes a request must have been in flight, with no likelier cause at any of
+	// them, to be blamed. Fewer coincide by chance while endpoints are killed one after the other.
 	minBlamedCrashes = 3
-	// minDistinctCrashes of them must have no other request that was at as many: two that were always together can't
-	// be told apart yet.
+	// minDistinctCrashes is at how many of them it must have been in flight at more crashes than any other request
+	// there: two requests that were always in flight together can't be told apart yet.
 	minDistinctCrashes = 2
-	// sufficientCrashes is enough also for requests that can't be told apart, or among many crashes of another cause.
+	// sufficientCrashes is enough to blame even requests that can't be told apart, or that ran among many crashes
+	// of another cause.
 	sufficientCrashes = 5
-	// backgroundWindow is how long before a request's first crash others still speak for another cause. Those longer ago may
-	// have been its own, of which evidence was lost with the processes that had it.
+	// backgroundWindow is how long before a request's first crash other crashes still indicate another cause.
+	// Older ones may have been the request's own, with the evidence lost together with the processes that had it.
 	backgroundWindow = 5 * time.Second
-	// verdictDelay after the last crash a verdict stands: by then what other processes know of the same crash has
-	// come. The request is refused meanwhile.
+	// verdictDelay is the time without new evidence after which a verdict is final: by then, what other processes
+	// know of the same crash has arrived. The request is refused meanwhile.
 	verdictDelay = 750 * time.Millisecond
-	// pendingRetryAfter is when a caller comes back that was refused before the verdict stands.
+	// pendingRetryAfter is when a caller may retry a request that was refused while its verdict was not final or
+	// its trial not decided.
 	pendingRetryAfter = time.Second
 )
 
-// Standing is how a request stands with the book.
+// Standing is how a request is treated, given the evidence.
 type Standing uint8
 
 // The standings of a request.
 const (
 	// Clear: it may run.
 	Clear Standing = iota
-	// Pending: it will be in quarantine unless the crashes turn out to be another's.
+	// Pending: it is refused, and will be quarantined unless the crashes turn out to have another cause.
 	Pending
 	// Quarantined: it may not run.
 	Quarantined
-	// OnTrial: its quarantine is over; one run will tell.
+	// OnTrial: its quarantine is over; a single attempt decides whether it may run.
 	OnTrial
 )
 
-// Status tells whether a request may run.
+// Status says whether a request may run.
 type Status struct {
 	Standing Standing
-	// After is when its caller may come back.
+	// After is how long its caller should wait before it retries.
 	After time.Duration
-	// Crashes that it is blamed for.
+	// Crashes counts the crashes at which it was in flight.
 	Crashes int
 }
 
-// Check tells whether a request may run.
+// Check returns the status of a request.
 func (t *Tracker) Check(key fingerprint.Key, now time.Time) Status {
 	if t.IsEmpty() {
 		return Status{}
@@ -71,7 +73,8 @@
 	return Status{}
 }
 
-// IsSuspect tells whether a request was at a crash: it should not be run twice at once.
+// IsSuspect reports whether a request was in flight at a crash or is quarantined: it should not run twice at the
+// same time.
 func (t *Tracker) IsSuspect(key fingerprint.Key) bool {
 	if t.IsEmpty() {
 		return false
@@ -82,11 +85,12 @@
 	return r != nil && (len(r.Crashes) > 0 || r.Level > 0)
 }
 
-// isBlamed tells whether the crashes that a request was at are its doing.
+// isBlamed reports whether a request caused the crashes at which it was in flight.
 //
-// A crash is that of the request that was at most crashes: one that only ran beside a culprit is at some of the
-// culprit's, and hardly at all. And a culprit is at most of the crashes since shortly before it came: while endpoints are
-// killed, a request that is tried again may be at several, but endpoints without it are killed as well.
+// A crash is attributed to the request that was in flight at the most crashes: one that only ran beside the
+// culprit was at some of the same crashes, and at hardly any others. The culprit must also have been in flight at
+// most of the crashes since shortly before its own first one: while endpoints are killed, a request that is
+// retried may be in flight at several crashes, but endpoints without it are killed as well.
 func (t *Tracker) isBlamed(r *Record) bool {
 	if len(r.Crashes) < minBlamedCrashes {
 		return false
@@ -113,7 +117,7 @@
 	return blamed >= minBlamedCrashes && distinct >= minDistinctCrashes && blamed > t.countCrashesWithout(r, first.Add(-backgroundWindow))
 }
 
-// likelihood compares a request with the others that were at a crash.
+// likelihood compares a request with the others in flight at a crash, as its cause.
 type likelihood uint8
 
 const (
@@ -137,8 +141,8 @@
 	return result
 }
 
-// countCrashesWithout counts the crashes since a time at which neither the request nor another culprit was present: several
-// that come at once would else speak for each other.
+// countCrashesWithout counts the crashes since a time at which neither the request nor another possible culprit
+// was in flight: several culprits that come at once would otherwise be evidence in favor of each other.
 func (t *Tracker) countCrashesWithout(r *Record, since time.Time) int {
 	n := 0
 	for incarnation, event := range t.crashes {
@@ -149,7 +153,8 @@
 	return n
 }
 
-// isCulprit tells whether a request is in quarantine, or at as many crashes as one that may be.
+// isCulprit reports whether a request is quarantined, or was in flight at as many crashes as it takes to be
+// blamed.
 func (t *Tracker) isCulprit(key fingerprint.Key) bool {
 	r := t.records[key]
 	return r.Level > 0 || len(r.Crashes) >= minBlamedCrashes
--- a/internal/coordination/quarantine/guard.go
+++ b/internal/coordination/quarantine/guard.go
@@ -17,40 +17,43 @@
 )
 
 const (
-	// evaluationInterval is how often verdicts are looked at.
+	// evaluationInterval is how often the evidence is evaluated.
 	evaluationInterval = 250 * time.Millisecond
 	// callTimeout bounds one call to the store.
 	callTimeout = 700 * time.Millisecond
-	// syncRetryDelay follows a failed call to the store.
+	// syncRetryDelay is the wait after a failed call to the store.
 	syncRetryDelay = time.Second
-	// idleSyncInterval is how often the record is read while no request is in quarantine, and at most.
+	// idleSyncInterval is how often the stored list is read while no request is quarantined. It is also the
+	// longest time between two reads.
 	idleSyncInterval = time.Minute
-	// activeSyncInterval is how often a small fleet reads it else: operators lift quarantines there.
+	// activeSyncInterval is how often a small fleet reads it otherwise: operators lift quarantines there.
 	activeSyncInterval = 4 * time.Second
-	// processesPerSync is the number of processes whose reads suffice for that; in a larger fleet each reads less often,
-	// and who has read tells the others.
+	// processesPerSync is how many processes are enough to learn of that soon by reading at activeSyncInterval. In
+	// a larger fleet each reads less often, and those that have read inform the others.
 	processesPerSync = 8
-	// maxWriteAttempts bounds the tries of one change of the record.
+	// maxWriteAttempts bounds the attempts at one change of the stored list.
 	maxWriteAttempts = 5
 )
 
-// Guard keeps requests in quarantine from being run. Its fields are set before use; nil guards nothing.
+// Guard keeps quarantined requests from running, and syncs the quarantines with the store. Its fields are set
+// before use; a nil Guard lets every request run.
 type Guard struct {
 	Quarantines *Tracker
-	// Store holds the record of quarantines.
+	// Store holds the list of quarantines.
 	Store   objectapi.API
 	Log     *zap.Logger
 	Metrics metrics.Registry
-	// Now is a clock that goes on while the host is suspended.
+	// Now is a clock that keeps running while the host is suspended.
 	Now func() time.Time
-	// Processes counts those that share the record.
+	// Processes returns how many processes share the stored list.
 	Processes func() int
-	// loggedDigest is the digest of the quarantines that were logged, levels theirs; of the duty.
+	// loggedDigest and loggedLevels are the digest and the levels of the quarantines that were logged last. Only
+	// Run's goroutine uses them.
 	loggedDigest uint64
 	loggedLevels map[fingerprint.Key]uint32
 }
 
-// NewGuard returns a guard over a book.
+// NewGuard returns a guard for the quarantines of a tracker.
 func NewGuard(quarantines *Tracker, store objectapi.API, log *zap.Logger, registry metrics.Registry, now func() time.Time) *Guard {
 	return &Guard{
 		Quarantines: quarantines, Store: store, Log: log, Metrics: registry, Now: now,
@@ -58,11 +61,12 @@
 	}
 }
 
-// IsIdle tells that no request is known to have been at a crash: nothing needs a fingerprint.
+// IsIdle reports whether no request is known to have been in flight at a crash, so that no request needs a
+// fingerprint.
 func (g *Guard) IsIdle() bool { return g == nil || g.Quarantines.IsEmpty() }
 
-// Admit tells whether a request may run; a refusal is its caller's answer. A request whose quarantine is over
-// gets one trial, which one process at a time takes from the store.
+// Admit returns nil if a request may run, else the answer to its caller. A request whose quarantine is over gets
+// one trial, which only one process at a time can claim in the store.
 func (g *Guard) Admit(ctx context.Context, key fingerprint.Key) *apierror.Error {
 	if g.IsIdle() {
 		return nil
@@ -74,7 +78,7 @@
 	return g.refusal(status)
 }
 
-// IsBlocked tells whether a request must not be run again after a run of it broke.
+// IsBlocked reports whether a request must not be run again after an attempt of it broke off.
 func (g *Guard) IsBlocked(key fingerprint.Key) bool {
 	return !g.IsIdle() && g.Quarantines.Check(key, g.Now()).Standing != Clear
 }
@@ -103,8 +107,8 @@
 	metrics.GetOrRegisterCounter("quarantine."+name, g.Metrics).Inc(1)
 }
 
-// blameWindow is how long after its first output a run may still be what crashed its endpoint: a longer one has
-// shown that it can be run.
+// blameWindow is how long after its first output an attempt may still have crashed its endpoint: one that lasts
+// longer has shown that the request can be run.
 const blameWindow = 500 * time.Millisecond
 
 // Attempt is one attempt of a request at one endpoint.
@@ -112,12 +116,12 @@
 	Key   fingerprint.Key
 	About RequestInfo
 	Sent  time.Time
-	// Output is when its answer began; zero if it did not.
+	// Output is when its answer began; zero if it has not begun.
 	Output time.Time
 }
 
-// RecordCrash holds an endpoint's crash against a run that was underway, unless it was sent to an endpoint that had
-// crashed already or had run well for long.
+// RecordCrash counts an endpoint's crash against an attempt that was in flight there, unless the attempt was sent
+// after the crash or had produced output for longer than blameWindow.
 func (g *Guard) RecordCrash(attempt Attempt, incarnation uint64, crashed time.Time) {
 	ranWell := !attempt.Output.IsZero() && crashed.Sub(attempt.Output) > blameWindow
 	if g != nil && !ranWell && attempt.Sent.Before(crashed) {
@@ -132,19 +136,21 @@
 	}
 }
 
-// IsSuspect tells whether a request was at a crash: it should not be run twice at once.
+// IsSuspect reports whether a request was in flight at a crash or is quarantined: it should not run twice at the
+// same time.
 func (g *Guard) IsSuspect(key fingerprint.Key) bool {
 	return !g.IsIdle() && g.Quarantines.IsSuspect(key)
 }
 
-// List returns the quarantines in force, as the record has them: it names requests that this process has not seen.
+// List returns the quarantines in force from the stored list, which also describes requests that this process has
+// not seen.
 func (g *Guard) List(ctx context.Context) ([]Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return ReadEntries(ctx, g.Store)
 }
 
-// Lift ends a quarantine on an operator's word; false if there is none.
+// Lift ends a quarantine for an operator. It reports whether there was one.
 func (g *Guard) Lift(key fingerprint.Key, operator string) bool {
 	if !g.Quarantines.Lift(key, g.Now()) {
 		return false
@@ -153,15 +159,15 @@
 	return true
 }
 
-// Run settles verdicts and keeps the record until ctx ends.
+// Run evaluates the evidence and syncs quarantines with the store until ctx ends.
 func (g *Guard) Run(ctx context.Context) {
-	settle := time.NewTicker(evaluationInterval)
-	defer settle.Stop()
+	evaluate := time.NewTicker(evaluationInterval)
+	defer evaluate.Stop()
 	sync := time.NewTimer(0)
 	defer sync.Stop()
 	for {
 		select {
-		case <-settle.C:
+		case <-evaluate.C:
 			g.Quarantines.Evaluate(g.Now())
 			if wait, changed := g.logChanges(); changed {
 				sync.Reset(wait)
@@ -174,9 +180,9 @@
 	}
 }
 
-// logChanges logs how the quarantines differ from the last time, and tells when the record is to be brought up to
-// them. A process that has not seen the request leaves that to those that have, and makes sure a little later: all of
-// a large fleet would write at once.
+// logChanges logs how the quarantines differ from the last call, and returns whether the stored list must be
+// brought up to date and after what wait. A process that has seen a changed request does so at once. The others
+// leave it to those that have, and check a little later: all of a large fleet would write at once.
 func (g *Guard) logChanges() (wait time.Duration, changed bool) {
 	digest := g.Quarantines.Digest()
 	if digest == g.loggedDigest {
@@ -216,10 +222,10 @@
 		zap.Int("crashes", len(r.Crashes)), zap.Uint32("level", r.Level), zap.Duration("left", r.Until.Sub(g.Now())))
 }
 
-// syncOnce returns the time until the next.
+// syncOnce syncs with the store and returns the time until the next sync.
 func (g *Guard) syncOnce(ctx context.Context) time.Duration {
 	if err := g.sync(ctx); err != nil {
-		g.Log.Info("record of quarantines can't be kept", zap.Error(err))
+		g.Log.Info("failed to sync quarantines with the store", zap.Error(err))
 		return pause.Jitter(syncRetryDelay)
 	}
 	if len(g.Quarantines.DurableRecords()) == 0 {
@@ -228,7 +234,7 @@
 	return pause.Jitter(min(idleSyncInterval, activeSyncInterval*time.Duration(max(1, g.Processes()/processesPerSync))))
 }
 
-// sync takes in the record, and writes what it lacks.
+// sync merges the stored list into the tracker, and writes what the list lacks.
 func (g *Guard) sync(ctx context.Context) error {
 	for range maxWriteAttempts {
 		entries, version, err := g.read(ctx)
@@ -248,14 +254,14 @@
 	return objectapi.ErrConflict
 }
 
-// read takes the record into the book. One that can't be decoded counts as empty, and is written anew: it would keep
-// every quarantine from the processes that start later.
+// read merges the stored list into the tracker. A list that can't be decoded counts as empty and is written from
+// scratch: it would keep every quarantine from the processes that start later.
 func (g *Guard) read(ctx context.Context) ([]Entry, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	entries, version, err := loadEntries(ctx, g.Store)
 	if errors.Is(err, errMalformedList) {
-		g.Log.Error("record of quarantines can't be read", zap.Error(err))
+		g.Log.Error("stored list of quarantines can't be decoded", zap.Error(err))
 		return nil, version, nil
 	}
 	if err != nil {
@@ -274,8 +280,9 @@
 	return saveEntries(ctx, g.Store, entries, version)
 }
 
-// claimTrial asks the store for the only run that a request gets after its quarantine. The entry that is written
-// already holds the next quarantine: if this process ends, or the run crashes its endpoint, nothing more has to be done.
+// claimTrial claims in the store the only attempt that a request gets after its quarantine. The entry that it
+// writes already holds the next quarantine: if this process ends, or the attempt crashes its endpoint, nothing
+// more has to be done.
 func (g *Guard) claimTrial(ctx context.Context, key fingerprint.Key) bool {
 	entries, version, err := g.read(ctx)
 	if err != nil || g.Quarantines.Check(key, g.Now()).Standing != OnTrial {
--- a/internal/coordination/quarantine/guard_test.go
+++ b/internal/coordination/quarantine/guard_test.go
@@ -17,7 +17,7 @@
 	"limpetwall/internal/transport/objectapi/standin"
 )
 
-// unreliableStore is an object API that can be away, and can lose the answers of writes.
+// unreliableStore is an object API that can be down, and can lose the answers to writes.
 type unreliableStore struct {
 	*standin.Store
 	down, losesAnswers atomic.Bool
@@ -64,7 +64,7 @@
 	}}
 }
 
-// recordCrashes lets a request be at three crashes.
+// recordCrashes counts as many crashes against a request as it takes to be blamed.
 func (p *process) recordCrashes(key fingerprint.Key) {
 	for incarnation := range uint64(minBlamedCrashes) {
 		about := RequestInfo{Service: "s", Customer: "club", Method: "GET", Target: "/x"}
@@ -72,7 +72,7 @@
 	}
 }
 
-// exchange passes on what the processes know, as they do among themselves.
+// exchange merges the durable records of all processes, as gossip between them does.
 func exchange(all ...*process) {
 	for _, from := range all {
 		for _, r := range from.Quarantines.DurableRecords() {
@@ -83,7 +83,7 @@
 	}
 }
 
-// admitCode is what a request's caller is told, empty if it runs.
+// admitCode returns the error code of a request's refusal; empty if it may run.
 func (p *process) admitCode(t *testing.T, key fingerprint.Key) string {
 	if refused := p.Admit(t.Context(), key); refused != nil {
 		if refused.Ran != apierror.RanNo || refused.Retry.AfterMS <= 0 {
@@ -94,8 +94,8 @@
 	return ""
 }
 
-// TestQuarantineOutlivesProcesses guards against a request that crashes as many endpoints again once all processes that knew it have
-// been restarted: also where the store was away when it was put into quarantine.
+// TestQuarantineOutlivesProcesses guards against a request that crashes as many endpoints again once all processes
+// that knew it have been restarted, also if the store was down when it was quarantined.
 func TestQuarantineOutlivesProcesses(t *testing.T) {
 	for _, down := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -110,22 +110,22 @@
 			second := startGuard(t, s)
 			time.Sleep(time.Second)
 			if got := second.admitCode(t, keyOf("a")); got != apierror.CodeQuarantined {
-				t.Errorf("store down %v: %q", down, got)
+				t.Errorf("store down %v: got code %q, want a quarantine", down, got)
 			}
 			if got := second.admitCode(t, keyOf("b")); got != "" {
-				t.Errorf("another request: %q", got)
+				t.Errorf("another request: got code %q, want none", got)
 			}
 			entries, err := ReadEntries(t.Context(), s)
 			if err != nil || len(entries) != 1 || entries[0].Target != "/x" || entries[0].Crashes != minBlamedCrashes {
-				t.Errorf("%+v %v", entries, err)
+				t.Errorf("got entries %+v and error %v, want one entry with its target and crashes", entries, err)
 			}
 			second.stop()
 		})
 	}
 }
 
-// TestReceivedQuarantineIsStored guards against a quarantine that no process writes down, as each heard of it from another before its
-// own verdict stood.
+// TestReceivedQuarantineIsStored guards against a quarantine that no process stores, as each received it from
+// another before its own verdict was final.
 func TestReceivedQuarantineIsStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &unreliableStore{Store: standin.New()}
@@ -136,13 +136,14 @@
 		time.Sleep(time.Second)
 		entries, err := ReadEntries(t.Context(), s)
 		if err != nil || len(entries) != 2 {
-			t.Errorf("%+v %v", entries, err)
+			t.Errorf("got entries %+v and error %v, want 2 entries", entries, err)
 		}
 		p.stop()
 	})
 }
 
-// TestOperatorLiftsQuarantine guards against a request that stays refused though an operator has found it harmless.
+// TestOperatorLiftsQuarantine guards against a request that stays refused although an operator has found it harmless and
+// lifted its quarantine.
 func TestOperatorLiftsQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const inForce = 10 * time.Second
@@ -152,7 +153,7 @@
 		time.Sleep(inForce)
 		exchange(p, other)
 		if err := LiftEntry(t.Context(), s, keyOf("b")); !errors.Is(err, ErrNotQuarantined) {
-			t.Errorf("another request: %v", err)
+			t.Errorf("lifting another request: got error %v, want ErrNotQuarantined", err)
 		}
 		if err := LiftEntry(t.Context(), s, keyOf("a")); err != nil {
 			t.Error(err)
@@ -161,30 +162,30 @@
 		exchange(p, other)
 		for _, g := range []*process{p, other} {
 			if got := g.admitCode(t, keyOf("a")); got != "" {
-				t.Errorf("after it was lifted: %q", got)
+				t.Errorf("after it was lifted: got code %q, want none", got)
 			}
 		}
 		if entries, err := ReadEntries(t.Context(), s); err != nil || len(entries) != 0 {
-			t.Errorf("%+v %v", entries, err)
+			t.Errorf("got entries %+v and error %v, want no entries", entries, err)
 		}
-		// What is lifted at a process goes the same way.
+		// Lifting at a process must have the same effect as lifting in the store.
 		p.recordCrashes(keyOf("c"))
 		time.Sleep(inForce)
 		exchange(p, other)
 		if other.Lift(keyOf("d"), "ana") || !other.Lift(keyOf("c"), "ana") {
-			t.Error("lifted the wrong one")
+			t.Error("got a wrong result of Lift")
 		}
 		exchange(p, other)
 		if got := p.admitCode(t, keyOf("c")); got != "" {
-			t.Errorf("after it was lifted elsewhere: %q", got)
+			t.Errorf("after it was lifted elsewhere: got code %q, want none", got)
 		}
 		p.stop()
 		other.stop()
 	})
 }
 
-// TestOneTrialAcrossProcesses guards against each process trying a request whose quarantine is over: together they would
-// crash as many endpoints as there are processes.
+// TestOneTrialAcrossProcesses guards against each process trying a request whose quarantine is over: together they
+// would crash as many endpoints as there are processes.
 func TestOneTrialAcrossProcesses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &unreliableStore{Store: standin.New()}
@@ -198,7 +199,7 @@
 		time.Sleep(initialQuarantine + activeSyncInterval)
 		s.down.Store(true)
 		if got := all[0].admitCode(t, keyOf("a")); got != apierror.CodeQuarantined {
-			t.Errorf("a trial without the store: %q", got)
+			t.Errorf("a trial without the store: got code %q, want a quarantine", got)
 		}
 		s.down.Store(false)
 		for round, want := range []int{1, 1} {
@@ -212,23 +213,24 @@
 			}
 			synctest.Wait()
 			if trials.Load() != int64(want) {
-				t.Errorf("round %d: %d trials", round, trials.Load())
+				t.Errorf("round %d: got %d trials, want 1", round, trials.Load())
 			}
-			// The trial ends without a word: its process may have been killed.
+			// The trial ends without a result: its process may have been killed.
 			time.Sleep(2*initialQuarantine<<round + idleSyncInterval)
 		}
 		all[2].RecordCompletion(keyOf("a"))
 		exchange(all...)
 		for i, p := range all {
 			if got := p.admitCode(t, keyOf("a")); got != "" {
-				t.Errorf("process %d after the trial: %q", i, got)
+				t.Errorf("process %d after the trial: got code %q, want none", i, got)
 			}
 			p.stop()
 		}
 	})
 }
 
-// TestUnknownWriteOutcomeGivesNoTrial guards against two trials where the write that takes one has an unknown outcome.
+// TestUnknownWriteOutcomeGivesNoTrial guards against two trials if the write that claims one has an unknown
+// outcome.
 func TestUnknownWriteOutcomeGivesNoTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &unreliableStore{Store: standin.New()}
@@ -239,18 +241,19 @@
 		time.Sleep(initialQuarantine + activeSyncInterval)
 		s.losesAnswers.Store(true)
 		if got := p.admitCode(t, keyOf("a")); got != apierror.CodeQuarantined {
-			t.Errorf("a trial on an unknown outcome: %q", got)
+			t.Errorf("a trial with an unknown outcome: got code %q, want a quarantine", got)
 		}
 		s.losesAnswers.Store(false)
 		if got := other.admitCode(t, keyOf("a")); got != apierror.CodeQuarantined {
-			t.Errorf("a trial that another may have taken: %q", got)
+			t.Errorf("a trial that another process may have claimed: got code %q, want a quarantine", got)
 		}
 		p.stop()
 		other.stop()
 	})
 }
 
-// TestMalformedListIsReplaced guards against bytes of another writer ending quarantines for good.
+// TestMalformedListIsReplaced guards against quarantines that can no longer be stored because another writer has
+// left bytes that don't decode.
 func TestMalformedListIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &unreliableStore{Store: standin.New()}
@@ -261,32 +264,33 @@
 		p.recordCrashes(keyOf("a"))
 		time.Sleep(5 * time.Second)
 		if entries, err := ReadEntries(t.Context(), s); err != nil || len(entries) != 1 {
-			t.Errorf("%+v %v", entries, err)
+			t.Errorf("got entries %+v and error %v, want 1 entry", entries, err)
 		}
 		p.stop()
 	})
 }
 
-// TestIdleFleetMakesFewStoreCalls guards against calls that the platform charges while no request is in quarantine.
+// TestIdleFleetMakesFewStoreCalls guards against calls that the platform charges for while no request is
+// quarantined.
 func TestIdleFleetMakesFewStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &unreliableStore{Store: standin.New()}
 		p := startGuard(t, s)
 		time.Sleep(time.Hour)
 		if calls := s.calls.Load(); calls > 2*int64(time.Hour/idleSyncInterval) {
-			t.Errorf("%d calls in an hour", calls)
+			t.Errorf("got %d calls in an hour, want at most two each idleSyncInterval", calls)
 		}
 		p.stop()
 	})
 }
 
-// TestRecordCrashSkipsUnrelatedAttempts guards against blame for a crash that a run can't have caused: it had run well for long, or was sent to an
-// endpoint that had crashed already.
+// TestRecordCrashSkipsUnrelatedAttempts guards against blame for a crash that an attempt can't have caused: it had
+// run well for long, or was sent to an endpoint that had already crashed.
 func TestRecordCrashSkipsUnrelatedAttempts(t *testing.T) {
 	crashed := time.Now()
 	rows := map[string]struct {
-		run    Attempt
-		blamed bool
+		attempt Attempt
+		blamed  bool
 	}{
 		"had not begun":        {Attempt{Sent: crashed.Add(-time.Minute)}, true},
 		"had just begun":       {Attempt{Sent: crashed.Add(-time.Minute), Output: crashed.Add(-blameWindow)}, true},
@@ -295,9 +299,9 @@
 	}
 	for name, row := range rows {
 		g := NewGuard(NewTracker(), standin.New(), zap.NewNop(), metrics.NewRegistry(), time.Now)
-		row.run.Key = keyOf(name)
-		if g.RecordCrash(row.run, 1, crashed); g.IsIdle() == row.blamed {
-			t.Errorf("%s: blamed %v", name, !g.IsIdle())
+		row.attempt.Key = keyOf(name)
+		if g.RecordCrash(row.attempt, 1, crashed); g.IsIdle() == row.blamed {
+			t.Errorf("%s: got blamed %v, want the opposite", name, !g.IsIdle())
 		}
 	}
 }
--- a/internal/coordination/quarantine/record.go
+++ b/internal/coordination/quarantine/record.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	// initialQuarantine is about what an operator needs to look at the request; a longer one would punish
-	// a wrong verdict.
+	// initialQuarantine is about what an operator needs to look at the request. A longer one would do more harm if
+	// the verdict is wrong.
 	initialQuarantine = 5 * time.Minute
 	// maxQuarantine bounds the wait for a request whose endpoints have been repaired.
 	maxQuarantine = time.Hour
-	// evidenceLifetime is how long a crash is held against a request that is not in quarantine.
+	// evidenceLifetime is how long a crash counts against a request that is not quarantined.
 	evidenceLifetime = 10 * time.Minute
-	// clearedLifetime is how long a cleared request is remembered: longer than messages about it are underway.
+	// clearedLifetime is how long a cleared request is remembered: longer than messages about it are in flight.
 	clearedLifetime = time.Minute
-	// maxCrashes bounds the crashes kept of one request; verdicts need fewer.
+	// maxCrashes bounds the crashes recorded for one request; verdicts need fewer.
 	maxCrashes = 8
 )
 
-// Record is what is known of one request that was underway when endpoints crashed.
+// Record is what is known of one request that was in flight when endpoints crashed.
 //
-// Invariant: merge is commutative, associative and idempotent, so that all processes come to the same case
-// whatever order they hear it in.
+// Invariant: merge is commutative, associative and idempotent, so that all processes end up with the same record
+// in whatever order they receive updates.
 type Record struct {
 	Key fingerprint.Key
-	// Round is raised when the request is cleared: what is said of an earlier round is void.
+	// Round is incremented when the request is cleared, which voids the evidence of earlier rounds.
 	Round uint32
-	// Crashes are those of endpoints that it was underway at, by incarnation.
+	// Crashes are the crashes of endpoints at which the request was in flight, ordered by incarnation.
 	Crashes []Crash
-	// Level counts the quarantines in a row; 0 is none.
+	// Level counts consecutive quarantines; 0 means not quarantined.
 	Level uint32
 	// Until is the end of the quarantine by this process's clock.
 	Until time.Time
-	// Lifted tells that a quarantine was lifted in this round.
+	// Lifted is true if this round began with the lifting of a quarantine.
 	Lifted bool
-	// About tells operators what the request is, as far as this process has seen it.
+	// About describes the request to operators; it is empty where this process has no description.
 	About RequestInfo
-	// changed is when this process last learned anything of the case.
+	// changed is when this process last learned anything new about the request.
 	changed time.Time
 }
 
-// Crash is that of one incarnation of an endpoint.
+// Crash is the crash of one incarnation of an endpoint.
 type Crash struct {
 	Incarnation uint64
-	// Seen is when the first process saw it, by this process's clock. When this one heard of it says little: those that
-	// start hear at once of all that crashed before.
+	// Seen is when the first process observed the crash, by this process's clock. When this process learned of it
+	// says little: one that starts learns at once of all earlier crashes.
 	Seen time.Time
 }
 
@@ -61,18 +61,18 @@
 	Target string `json:"target,omitempty"`
 }
 
-// maxTarget bounds what is kept of a request's target, in bytes.
+// maxTarget bounds the recorded length of a request's target, in bytes.
 const maxTarget = 200
 
-// quarantineDuration of a quarantine: it doubles with each trial that failed.
+// quarantineDuration returns the length of a quarantine: it doubles with each failed trial, up to maxQuarantine.
 func quarantineDuration(level uint32) time.Duration {
 	return min(maxQuarantine, initialQuarantine<<min(max(level, 1)-1, 10))
 }
 
-// isDurable tells whether the case must reach processes that start later.
+// isDurable reports whether the record must reach processes that start later.
 func (r *Record) isDurable() bool { return r.Level > 0 || r.Lifted }
 
-// startedAt is when the quarantine did; zero without one.
+// startedAt returns when the quarantine began or was lifted; zero if there was none.
 func (r *Record) startedAt() time.Time {
 	switch {
 	case r.Level > 0:
@@ -83,11 +83,12 @@
 	return time.Time{}
 }
 
-// expiresAt is when the case is forgotten.
+// expiresAt returns when the record is removed.
 func (r *Record) expiresAt() time.Time {
 	switch {
 	case r.Level > 0:
-		// Who asks again after that is on trial; nobody has asked for long if it is still there.
+		// A request that comes after Until is put on trial, which begins the next quarantine. If the record gets
+		// this old, the request has not come for long.
 		return r.Until.Add(maxQuarantine)
 	case r.Lifted:
 		return r.changed.Add(maxQuarantine)
@@ -97,21 +98,21 @@
 	return r.changed.Add(evidenceLifetime)
 }
 
-// startQuarantine begins the case's next startQuarantine. That of a request on trial begins with the trial: nobody else may try
-// meanwhile, also if the process that does ends.
+// startQuarantine begins the next quarantine. For a request on trial it begins together with the trial: no other
+// process may try the request meanwhile, even if the process that runs the trial ends.
 func (r *Record) startQuarantine(now time.Time) {
 	r.Level++
 	r.Until, r.changed = now.Add(quarantineDuration(r.Level)), now
 }
 
-// clear voids what is known of the case.
+// clear voids what is known of the request and begins a new round.
 func (r *Record) clear(now time.Time) {
 	r.Lifted = r.Level > 0
 	r.Round++
 	r.Crashes, r.Level, r.Until, r.changed = nil, 0, time.Time{}, now
 }
 
-// merge takes in what another process knows; false if it is nothing new.
+// merge merges what another process knows into the record. It reports whether anything was new.
 func (r *Record) merge(other Record, now time.Time) bool {
 	if other.Round < r.Round {
 		return false
@@ -140,7 +141,7 @@
 	case other.Level > r.Level:
 		r.Level, r.Until, changed = other.Level, other.Until, true
 	case other.Level == r.Level && other.Until.After(r.Until):
-		// No news: processes count the same quarantine from slightly different moments.
+		// This is no change: processes time the same quarantine from slightly different moments.
 		r.Until = other.Until
 	}
 	if changed {
@@ -154,14 +155,14 @@
 	return found
 }
 
-// findCrash returns the place of an incarnation's crash among the case's.
+// findCrash returns the index of an incarnation's crash in Crashes, or where it belongs.
 func (r *Record) findCrash(incarnation uint64) (i int, found bool) {
 	return slices.BinarySearchFunc(r.Crashes, incarnation, func(crash Crash, incarnation uint64) int {
 		return cmp.Compare(crash.Incarnation, incarnation)
 	})
 }
 
-// addCrash adds one to the crashes; false if it is known, or the case has all that it keeps.
+// addCrash adds a crash. It returns false if the crash is known, or is not among the maxCrashes that are recorded.
 func (r *Record) addCrash(crash Crash) bool {
 	i, known := r.findCrash(crash.Incarnation)
 	if known {
@@ -170,7 +171,7 @@
 	}
 	crashes := slices.Insert(r.Crashes, i, crash)
 	if len(crashes) > maxCrashes {
-		// Which ones are kept must not depend on their order of arrival.
+		// Which crashes are recorded must not depend on their order of arrival.
 		if i == maxCrashes {
 			return false
 		}
--- a/internal/coordination/quarantine/store.go
+++ b/internal/coordination/quarantine/store.go
@@ -12,22 +12,22 @@
 	"limpetwall/internal/transport/objectapi"
 )
 
-// objectKey is the object that holds the quarantines. It is one for all: a process reads it with one call at its
-// start, and two that change it at once are told so by its version.
+// objectKey names the object that holds all quarantines: a process reads them with one call at its start, and two
+// that change them at once detect the conflict by the object's version.
 const objectKey = "quarantine"
 
-// maxEntries bounds the record, at about 400 bytes each, within what an object may hold.
+// maxEntries bounds the stored list, at about 400 bytes an entry, to what an object may hold.
 const maxEntries = 1024
 
-// Entry is a quarantine as the platform's store keeps it.
+// Entry is a quarantine in the platform's store.
 type Entry struct {
 	Fingerprint fingerprint.Key `json:"fingerprint"`
 	Round       uint32          `json:"round"`
-	// Level counts quarantines in a row; 0: it was lifted.
+	// Level counts consecutive quarantines; 0 means that the quarantine was lifted.
 	Level uint32 `json:"level"`
-	// EndsMS is the quarantine's end; of a lifted one, when the entry may go. Unix ms.
+	// EndsMS is the quarantine's end or, if it was lifted, when the entry may be removed. Unix ms.
 	EndsMS int64 `json:"ends_ms"`
-	// Crashes that the request was blamed for.
+	// Crashes counts those that the request was blamed for.
 	Crashes int `json:"crashes,omitempty"`
 	RequestInfo
 }
@@ -36,7 +36,7 @@
 	Entries []Entry `json:"entries"`
 }
 
-// ReadEntries returns the quarantines in force that a store holds, for operators.
+// ReadEntries returns the quarantines in force in a store, for operators.
 func ReadEntries(ctx context.Context, store objectapi.API) ([]Entry, error) {
 	entries, _, err := loadEntries(ctx, store)
 	if err != nil {
@@ -51,10 +51,10 @@
 	return out, nil
 }
 
-// ErrNotQuarantined tells that a request to be freed is in no quarantine.
+// ErrNotQuarantined is returned when the request whose quarantine is to be lifted is in none.
 const ErrNotQuarantined = errors.ConstError("no such quarantine")
 
-// LiftEntry ends a quarantine in the store; the processes hear of it there.
+// LiftEntry ends a quarantine in the store; the processes learn of it when they read the list.
 func LiftEntry(ctx context.Context, store objectapi.API, key fingerprint.Key) error {
 	for range maxWriteAttempts {
 		entries, version, err := loadEntries(ctx, store)
@@ -74,7 +74,7 @@
 	return objectapi.ErrConflict
 }
 
-// loadEntries returns the entries and the version of the record, none and 0 before there is one.
+// loadEntries returns the entries and the version of the stored list; none and 0 while there is no list.
 func loadEntries(ctx context.Context, store objectapi.API) ([]Entry, int64, error) {
 	o, err := store.Get(ctx, objectKey)
 	if errors.Is(err, objectapi.ErrNotFound) {
@@ -90,7 +90,7 @@
 	return r.Entries, o.Version, nil
 }
 
-// errMalformedList tells that the record's bytes aren't what these processes write.
+// errMalformedList is returned when the stored bytes aren't what these processes write.
 const errMalformedList = errors.ConstError("record of quarantines does not decode")
 
 func saveEntries(ctx context.Context, store objectapi.API, entries []Entry, version int64) error {
@@ -102,7 +102,7 @@
 	return errors.Trace(err)
 }
 
-// toRecord translates an entry's end from the time of day to this process's clock.
+// toRecord converts an entry to a record, and its end from wall time to this process's clock.
 func (e Entry) toRecord(now, wallTime time.Time) Record {
 	r := Record{Key: e.Fingerprint, Round: e.Round, Level: e.Level, About: e.RequestInfo, Lifted: e.Level == 0}
 	if e.Level > 0 {
@@ -111,6 +111,7 @@
 	return r
 }
 
+// newEntry converts a record to an entry, and its end from this process's clock to wall time.
 func newEntry(r Record, now, wallTime time.Time) Entry {
 	ends := r.Until
 	if r.Level == 0 {
@@ -122,12 +123,12 @@
 	}
 }
 
-// isNewerThan tells whether a process knows more of a request than an entry says.
+// isNewerThan reports whether a process knows more of a request than an entry says.
 func (r *Record) isNewerThan(e Entry) bool {
 	return r.Round > e.Round || (r.Round == e.Round && r.Level > e.Level)
 }
 
-// isExpired tells that an entry serves nobody any more.
+// isExpired reports whether an entry is no longer needed.
 func (e Entry) isExpired(wallTime time.Time) bool {
 	end := time.UnixMilli(e.EndsMS)
 	if e.Level > 0 {
@@ -136,7 +137,8 @@
 	return wallTime.After(end)
 }
 
-// updateEntries brings entries up to what cases say; false if they say it already.
+// updateEntries brings entries up to date with records. It returns false if there was nothing to add; the removal
+// of expired entries alone doesn't count.
 func updateEntries(entries []Entry, records []Record, now, wallTime time.Time) ([]Entry, bool) {
 	out := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.isExpired(wallTime) })
 	changed := false
@@ -154,7 +156,7 @@
 			}
 			changed = true
 		case i >= 0 && out[i].RequestInfo == (RequestInfo{}) && r.About != (RequestInfo{}):
-			// It was entered by a process that has not seen the request.
+			// The entry was written by a process that has not seen the request.
 			out[i].RequestInfo, changed = r.About, true
 		}
 	}
--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -13,34 +13,35 @@
 	"limpetwall/internal/transport/pause"
 )
 
-// maxRecords bounds the book to about 1 MB.
+// maxRecords bounds the tracker's memory to about 1 MB.
 const maxRecords = 4096
 
-// Tracker is what a process knows of the requests that were at crashes. Safe for concurrent use.
+// Tracker records which requests were in flight at which endpoint crashes, and which of them are quarantined. It
+// is safe for concurrent use.
 type Tracker struct {
-	// size is the number of cases, for the many requests that come while there are none.
+	// size is the number of records, readable without the lock: most requests arrive while there are none.
 	size atomic.Int64
 
 	mu      sync.Mutex
 	records map[fingerprint.Key]*Record
-	// crashes by the incarnation that crashed.
+	// crashes is keyed by the incarnation that crashed.
 	crashes map[uint64]*endpointCrash
-	// sendsLeft counts how often a change is still passed on.
+	// sendsLeft counts how often each changed record is still to be sent to other processes.
 	sendsLeft map[fingerprint.Key]int
-	// onBlame is told of requests that are to blame.
+	// onBlame is called with each request that is found to cause crashes.
 	onBlame func(fingerprint.Key)
 	urgent  chan struct{}
 }
 
-// endpointCrash is one of an endpoint, as far as requests were at it.
+// endpointCrash is the crash of one incarnation of an endpoint at which requests were in flight.
 type endpointCrash struct {
-	// firstSeen is when the first process saw it.
+	// firstSeen is when the first process observed the crash.
 	firstSeen time.Time
-	// inFlight are the requests that were underway there.
+	// inFlight are the requests whose records list this crash.
 	inFlight []fingerprint.Key
 }
 
-// NewTracker returns an empty book.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{
 		records: map[fingerprint.Key]*Record{}, crashes: map[uint64]*endpointCrash{}, sendsLeft: map[fingerprint.Key]int{},
@@ -48,13 +49,13 @@
 	}
 }
 
-// IsEmpty tells that no request is known to the book.
+// IsEmpty reports whether the tracker has no records.
 func (t *Tracker) IsEmpty() bool { return t.size.Load() == 0 }
 
-// UrgentPending receives when there is something to pass on.
+// UrgentPending returns a channel that receives a value when there are urgent updates to send.
 func (t *Tracker) UrgentPending() <-chan struct{} { return t.urgent }
 
-// RecordCrash records that a request was underway at an endpoint's incarnation when that crashed.
+// RecordCrash records that a request was in flight at an endpoint's incarnation when that crashed.
 func (t *Tracker) RecordCrash(key fingerprint.Key, incarnation uint64, about RequestInfo, now time.Time) {
 	about.Target = about.Target[:min(len(about.Target), maxTarget)]
 	observed := Record{Key: key, Crashes: []Crash{{incarnation, now}}, About: about}
@@ -66,8 +67,8 @@
 	t.merge(observed, now)
 }
 
-// RecordCompletion records that an endpoint ran a request to its end. It is not what crashes endpoints, or no more. True
-// if a quarantine is lifted by it.
+// RecordCompletion records that an endpoint ran a request to its end: the request does not crash endpoints, or no
+// longer does. It reports whether this lifted a quarantine.
 func (t *Tracker) RecordCompletion(key fingerprint.Key, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,7 +81,7 @@
 	return lifted
 }
 
-// Lift ends a request's quarantine; false if it is in none.
+// Lift ends a request's quarantine. It reports whether there was one.
 func (t *Tracker) Lift(key fingerprint.Key, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,14 +93,15 @@
 	return true
 }
 
-// clear voids a case and has that passed on; b.mu is held.
-func (t *Tracker) clear(c *Record, now time.Time) {
-	t.unindex(c)
-	c.clear(now)
-	t.enqueueUpdate(c.Key)
+// clear voids a record and sends the change to other processes; t.mu is held.
+func (t *Tracker) clear(r *Record, now time.Time) {
+	t.unindex(r)
+	r.clear(now)
+	t.enqueueUpdate(r.Key)
 }
 
-// BeginTrial records the only run that a request gets when its quarantine is over.
+// BeginTrial records the start of the only attempt that a request gets when its quarantine is over. The next
+// quarantine begins with it.
 func (t *Tracker) BeginTrial(key fingerprint.Key, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,14 +111,14 @@
 	}
 }
 
-// Merge takes in what another process or the store knows of a request; false if it is nothing new.
+// Merge merges what another process or the store knows of a request. It reports whether anything was new.
 func (t *Tracker) Merge(other Record, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.merge(other, now)
 }
 
-// merge is Merge while b.mu is held.
+// merge is Merge with t.mu held.
 func (t *Tracker) merge(other Record, now time.Time) bool {
 	if isUninformative(other, now) {
 		return false
@@ -139,22 +141,24 @@
 	return changed
 }
 
-// OnBlame has a function called with each request that is found to be to blame, as often as its case changes then. The book
-// is locked meanwhile: the function must neither block nor use it.
+// OnBlame sets the function that is called with each request found to cause crashes, and again whenever the record
+// of such a request changes. The tracker is locked during the call: the function must neither block nor use the
+// tracker.
 func (t *Tracker) OnBlame(blamed func(fingerprint.Key)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.onBlame = blamed
 }
 
-// reportIfBlamed tells of a request if it is to blame.
+// reportIfBlamed calls onBlame if a request is quarantined or to blame; t.mu is held.
 func (t *Tracker) reportIfBlamed(r *Record) {
 	if r.Level > 0 || t.isBlamed(r) {
 		t.onBlame(r.Key)
 	}
 }
 
-// isUninformative tells of a case that needs no place in a book.
+// isUninformative reports whether a record needs no place in a tracker: its quarantine has expired, or it is not
+// quarantined, lists no crashes and was never cleared.
 func isUninformative(other Record, now time.Time) bool {
 	if other.Level > 0 {
 		return !now.Before(other.expiresAt())
@@ -162,7 +166,7 @@
 	return other.Round == 0 && len(other.Crashes) == 0
 }
 
-// clampUntil keeps another's clock from making a quarantine longer than any is.
+// clampUntil limits a quarantine to the length for its level: another process's clock must not make it longer.
 func clampUntil(other Record, now time.Time) time.Time {
 	if other.Level == 0 {
 		return time.Time{}
@@ -201,7 +205,8 @@
 	t.size.Store(int64(len(t.records)))
 }
 
-// evictIfFull forgets an eighth of a full book: what was at fewest crashes and is known longest, quarantines last.
+// evictIfFull removes an eighth of the records of a full tracker: first those with the fewest crashes and, of
+// these, those unchanged for longest. Quarantines are removed last.
 func (t *Tracker) evictIfFull() {
 	if len(t.records) < maxRecords {
 		return
@@ -212,12 +217,13 @@
 	}
 }
 
-// compareEvictionOrder orders cases by how much is lost with them.
+// compareEvictionOrder orders records by how much is lost with them, the least first.
 func compareEvictionOrder(a, b *Record) int {
 	return cmp.Or(cmp.Compare(a.Level, b.Level), cmp.Compare(len(a.Crashes), len(b.Crashes)), a.changed.Compare(b.changed))
 }
 
-// Evaluate puts requests into quarantine whose verdicts stand, and forgets what has expired.
+// Evaluate quarantines the requests that are to blame and whose records have not changed for verdictDelay. It also
+// removes what has expired.
 func (t *Tracker) Evaluate(now time.Time) {
 	if t.IsEmpty() {
 		return
@@ -231,7 +237,7 @@
 			blamed = append(blamed, r)
 		}
 	}
-	// Only now: the first to be in quarantine would explain the crashes of others like it.
+	// Quarantine them only now: the first one in quarantine would explain the crashes of the others like it.
 	for _, r := range blamed {
 		r.startQuarantine(now)
 		t.enqueueUpdate(r.Key)
@@ -239,7 +245,7 @@
 	}
 }
 
-// RunExpiry forgets what has expired until ctx ends, for a process that only passes cases on.
+// RunExpiry removes what has expired until ctx ends, in a process that only passes records on.
 func (t *Tracker) RunExpiry(ctx context.Context, now func() time.Time) {
 	for pause.For(ctx, evaluationInterval) {
 		t.mu.Lock()
@@ -248,7 +254,9 @@
 	}
 }
 
-// removeExpired also drops crashes that no request was at any more. Until then they speak for who was not there.
+// removeExpired removes expired records. It also removes crashes that no record lists any more, once they are
+// older than evidenceLifetime or there are more than maxRecords: until then they are evidence in favor of the
+// requests that were not in flight there. t.mu is held.
 func (t *Tracker) removeExpired(now time.Time) {
 	for _, r := range t.records {
 		if !now.Before(r.expiresAt()) {
--- a/internal/coordination/quarantine/tracker_test.go
+++ b/internal/coordination/quarantine/tracker_test.go
@@ -23,7 +23,8 @@
 	return fingerprint.Of(fingerprint.Request{Target: name}, nil)
 }
 
-// at lists who was at each crash: crash 1, crash 2 and so on.
+// trackerWithCrashes returns a tracker with crashes 1, 2 and so on, each given by the names of the requests in
+// flight there.
 func trackerWithCrashes(crashes ...[]string) *Tracker {
 	tracker := NewTracker()
 	for i, names := range crashes {
@@ -34,8 +35,8 @@
 	return tracker
 }
 
-// TestBlameAttribution guards against a request being blamed for the crashes of another that ran beside it, and
-// against the culprit hiding behind those.
+// TestBlameAttribution guards against a request being blamed for crashes of another that ran beside it, and
+// against the culprit not being found because of those that ran beside it.
 func TestBlameAttribution(t *testing.T) {
 	rows := []struct {
 		name    string
@@ -60,32 +61,32 @@
 			tracker := trackerWithCrashes(row.crashes...)
 			if row.blamed != "" {
 				if v := tracker.Check(keyOf(row.blamed), start); v.Standing != Pending {
-					t.Errorf("%s is not held: %+v", row.blamed, v)
+					t.Errorf("%s: got %+v, want Pending", row.blamed, v)
 				}
 			}
 			for _, other := range row.others {
 				if v := tracker.Check(keyOf(other), start); v.Standing != Clear {
-					t.Errorf("%s: %+v", other, v)
+					t.Errorf("%s: got %+v, want Clear", other, v)
 				}
 			}
 			tracker.Evaluate(start.Add(verdictDelay))
 			if row.blamed != "" {
 				v := tracker.Check(keyOf(row.blamed), start.Add(verdictDelay))
 				if v.Standing != Quarantined || v.After != initialQuarantine {
-					t.Errorf("%s is not in quarantine: %+v", row.blamed, v)
+					t.Errorf("%s: got %+v, want Quarantined for initialQuarantine", row.blamed, v)
 				}
 			}
 			for _, other := range row.others {
 				if v := tracker.Check(keyOf(other), start.Add(verdictDelay)); v.Standing != Clear {
-					t.Errorf("%s: %+v", other, v)
+					t.Errorf("%s after Evaluate: got %+v, want Clear", other, v)
 				}
 			}
 		})
 	}
 }
 
-// TestEvaluateWaitsForOtherProcesses guards against a quarantine that rests on half of the evidence: a request that ran beside
-// the culprit is known to be at a third crash before the culprit is.
+// TestEvaluateWaitsForOtherProcesses guards against a quarantine that rests on half of the evidence: a request
+// that ran beside the culprit is known to be at a third crash before the culprit is.
 func TestEvaluateWaitsForOtherProcesses(t *testing.T) {
 	tracker := trackerWithCrashes([]string{"culprit", "beside"}, []string{"culprit", "beside"}, []string{"beside"})
 	if v := tracker.Check(keyOf("beside"), start); v.Standing != Pending || v.After != pendingRetryAfter {
@@ -111,8 +112,9 @@
 	}
 }
 
-// TestOnBlame guards against runs that go on when their request is to blame: by a crash seen here, by word of
-// another process, or when what hid it is cleared.
+// TestOnBlame guards against attempts that go on although their request is found to cause crashes: by a crash that
+// this process observed, by what another process sent, or because the record that explained the crashes was
+// cleared.
 func TestOnBlame(t *testing.T) {
 	third := func(tracker *Tracker) { tracker.RecordCrash(keyOf("a"), 3, RequestInfo{}, start) }
 	rows := []struct {
@@ -122,10 +124,10 @@
 		want    bool
 	}{
 		{"a third crash", [][]string{{"a"}, {"a"}}, third, true},
-		{"word of a third crash", [][]string{{"a"}, {"a"}}, func(tracker *Tracker) {
+		{"a third crash reported by another process", [][]string{{"a"}, {"a"}}, func(tracker *Tracker) {
 			tracker.Merge(Record{Key: keyOf("a"), Crashes: crashesAt(start, 3)}, start)
 		}, true},
-		{"word of a quarantine", [][]string{{"a"}}, func(tracker *Tracker) {
+		{"a quarantine reported by another process", [][]string{{"a"}}, func(tracker *Tracker) {
 			tracker.Merge(Record{Key: keyOf("a"), Level: 1, Until: start.Add(time.Minute)}, start)
 		}, true},
 		{"more crashes", [][]string{{"a"}, {"a"}}, func(tracker *Tracker) {
@@ -137,7 +139,7 @@
 			tracker.Evaluate(start.Add(verdictDelay))
 		}, true},
 		{"a second crash", [][]string{{"a"}}, func(tracker *Tracker) { tracker.RecordCrash(keyOf("a"), 2, RequestInfo{}, start) }, false},
-		{"blame of another", [][]string{{"b"}, {"b"}}, func(tracker *Tracker) { tracker.RecordCrash(keyOf("b"), 3, RequestInfo{}, start) }, false},
+		{"another is to blame", [][]string{{"b"}, {"b"}}, func(tracker *Tracker) { tracker.RecordCrash(keyOf("b"), 3, RequestInfo{}, start) }, false},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
@@ -146,14 +148,14 @@
 			tracker.OnBlame(func(key fingerprint.Key) { reported[key] = true })
 			row.then(tracker)
 			if reported[keyOf("a")] != row.want {
-				t.Errorf("told of it: %v, want %v", reported[keyOf("a")], row.want)
+				t.Errorf("got OnBlame called %v, want %v", reported[keyOf("a")], row.want)
 			}
 		})
 	}
 }
 
-// TestQuarantinedRequestExplainsCrashes guards against one request's crashes being held against those beside it after the
-// quarantine began.
+// TestQuarantinedRequestExplainsCrashes guards against crashes of a request that is already quarantined being
+// counted against those that ran beside it.
 func TestQuarantinedRequestExplainsCrashes(t *testing.T) {
 	tracker := trackerWithCrashes([]string{"culprit"}, []string{"culprit"}, []string{"culprit"})
 	tracker.Evaluate(start.Add(verdictDelay))
@@ -166,25 +168,25 @@
 	}
 }
 
-// TestCompletionClearsRequest guards against a request that comes often, and so was at many crashes, being refused
-// though endpoints run it.
+// TestCompletionClearsRequest guards against the refusal of a frequent request, which is in flight at many crashes
+// although endpoints can run it.
 func TestCompletionClearsRequest(t *testing.T) {
 	tracker := NewTracker()
 	for crash := uint64(1); crash < 20; crash++ {
 		tracker.RecordCrash(keyOf("often"), crash, RequestInfo{}, start)
 		tracker.RecordCompletion(keyOf("often"), start)
 		if v := tracker.Check(keyOf("often"), start); v.Standing != Clear {
-			t.Fatalf("after %d crashes: %+v", crash, v)
+			t.Fatalf("after %d crashes: got %+v, want Clear", crash, v)
 		}
 	}
 	outdated := Record{Key: keyOf("often"), Round: 3, Crashes: crashesAt(start, 101, 102, 103, 104)}
 	if tracker.Merge(outdated, start) {
-		t.Error("word of an earlier round counts")
+		t.Error("evidence of an earlier round was merged")
 	}
 }
 
-// TestQuarantineEndsWithTrial follows a quarantine over its end: one run, a longer quarantine when that crashes its endpoint
-// too, and freedom when it ends well.
+// TestQuarantineEndsWithTrial checks what follows a quarantine: a single attempt, a longer quarantine if that
+// crashes its endpoint too, and release if it completes.
 func TestQuarantineEndsWithTrial(t *testing.T) {
 	tracker := trackerWithCrashes([]string{"a"}, []string{"a"}, []string{"a"})
 	now := start.Add(verdictDelay)
@@ -192,44 +194,45 @@
 	for level := uint32(1); level < 8; level++ {
 		want := min(maxQuarantine, initialQuarantine<<(level-1))
 		if v := tracker.Check(keyOf("a"), now.Add(want-1)); v.Standing != Quarantined {
-			t.Fatalf("level %d: %+v", level, v)
+			t.Fatalf("level %d: got %+v, want Quarantined", level, v)
 		}
 		now = now.Add(want)
 		if v := tracker.Check(keyOf("a"), now); v.Standing != OnTrial {
-			t.Fatalf("level %d: %+v", level, v)
+			t.Fatalf("level %d: got %+v, want OnTrial", level, v)
 		}
 		tracker.BeginTrial(keyOf("a"), now)
 	}
 	if v := tracker.Check(keyOf("a"), now); v.Standing != Quarantined || v.After != maxQuarantine {
-		t.Errorf("during its trial: %+v", v)
+		t.Errorf("during its trial: got %+v, want Quarantined for maxQuarantine", v)
 	}
 	if !tracker.RecordCompletion(keyOf("a"), now) {
-		t.Error("the quarantine is not lifted")
+		t.Error("the quarantine was not lifted")
 	}
 	if v := tracker.Check(keyOf("a"), now); v.Standing != Clear {
-		t.Errorf("after its trial: %+v", v)
+		t.Errorf("after its trial: got %+v, want Clear", v)
 	}
 }
 
-// TestExpiredRecordsAreRemoved guards against a book that grows with all that ever was at a crash.
+// TestExpiredRecordsAreRemoved guards against a tracker that grows with all requests that were ever in flight at a
+// crash.
 func TestExpiredRecordsAreRemoved(t *testing.T) {
 	tracker := trackerWithCrashes([]string{"a", "b"}, []string{"a"})
 	tracker.RecordCompletion(keyOf("b"), start)
 	tracker.Evaluate(start.Add(clearedLifetime))
 	if len(tracker.records) != 1 {
-		t.Errorf("%d cases", len(tracker.records))
+		t.Errorf("got %d records, want 1", len(tracker.records))
 	}
 	if v := tracker.Check(keyOf("a"), start); v.Standing != Clear {
 		t.Errorf("%+v", v)
 	}
 	tracker.Evaluate(start.Add(evidenceLifetime))
 	if !tracker.IsEmpty() || len(tracker.crashes) != 0 || len(tracker.sendsLeft) != 0 {
-		t.Errorf("%d cases, %d crashes, %d rumours", len(tracker.records), len(tracker.crashes), len(tracker.sendsLeft))
+		t.Errorf("got %d records, %d crashes and %d pending updates, want none", len(tracker.records), len(tracker.crashes), len(tracker.sendsLeft))
 	}
 }
 
-// TestTrackerIsBounded fills a book beyond its bound, as the crash of many busy endpoints does: quarantines stay, and what is
-// at most crashes.
+// TestTrackerIsBounded fills a tracker beyond its limit, as the crash of many busy endpoints does: quarantines
+// stay, and so do the requests that were at the most crashes.
 func TestTrackerIsBounded(t *testing.T) {
 	tracker := trackerWithCrashes([]string{"q"}, []string{"q"}, []string{"q"})
 	tracker.Evaluate(start.Add(verdictDelay))
@@ -239,17 +242,18 @@
 		tracker.RecordCrash(keyOf(fmt.Sprint(i)), uint64(100+i%50), RequestInfo{}, start)
 	}
 	if len(tracker.records) > maxRecords || len(tracker.sendsLeft) > maxRecords || int(tracker.size.Load()) != len(tracker.records) {
-		t.Errorf("%d cases, %d rumours, size %d", len(tracker.records), len(tracker.sendsLeft), tracker.size.Load())
+		t.Errorf("got %d records, %d pending updates and size %d, want at most maxRecords and a size equal to the records", len(tracker.records), len(tracker.sendsLeft), tracker.size.Load())
 	}
 	if v := tracker.Check(keyOf("q"), start.Add(verdictDelay)); v.Standing != Quarantined {
 		t.Errorf("%+v", v)
 	}
 	if r := tracker.records[keyOf("twice")]; r == nil {
-		t.Error("what was at two crashes is forgotten before what was at one")
+		t.Error("a request at two crashes was removed before those at one")
 	}
 }
 
-// TestMergeIsOrderIndependent merges the same reports in any order, with repeats: all processes come to the same cases.
+// TestMergeIsOrderIndependent merges the same reports in any order, with repeats: all processes end up with the
+// same records.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Record {
@@ -279,11 +283,11 @@
 		}
 		for key, r := range first.records {
 			if !reflect.DeepEqual(r, second.records[key]) {
-				t.Fatalf("%+v\n%+v", r, second.records[key])
+				t.Fatalf("the records differ:\n%+v\n%+v", r, second.records[key])
 			}
 		}
 		if first.Digest() != second.Digest() || len(first.records) != len(second.records) {
-			t.Fatal("digests differ")
+			t.Fatal("digests or numbers of records differ")
 		}
 		for _, tracker := range []*Tracker{first, second} {
 			checkIndex(t, tracker)
@@ -299,14 +303,14 @@
 	return out
 }
 
-// checkIndex compares the lists of who was at each crash with the cases.
+// checkIndex compares the requests listed for each crash with the records.
 func checkIndex(t *rapid.T, tracker *Tracker) {
 	entries := 0
 	for incarnation, event := range tracker.crashes {
 		entries += len(event.inFlight)
 		for _, key := range event.inFlight {
 			if r := tracker.records[key]; r == nil || !r.hasCrash(incarnation) {
-				t.Fatalf("%s is listed at crash %d", key, incarnation)
+				t.Fatalf("%s is listed at crash %d, which its record lacks", key, incarnation)
 			}
 		}
 	}
@@ -314,12 +318,13 @@
 		entries -= len(r.Crashes)
 	}
 	if entries != 0 {
-		t.Fatalf("%d entries too many", entries)
+		t.Fatalf("the crashes list %d requests more than the records have crashes, want 0", entries)
 	}
 }
 
-// TestNewProcessAgreesWithOthers guards against a process that starts and lets a request crash endpoints which all others
-// refuse: it hears at once of all that crashed for other reasons before, and must not take that for crashes of now.
+// TestNewProcessAgreesWithOthers guards against a process that starts and lets a request crash endpoints although
+// all others refuse it: it learns at once of all earlier crashes of other causes, and must not treat them as
+// crashes that happen now.
 func TestNewProcessAgreesWithOthers(t *testing.T) {
 	old, newcomer := trackerWithCrashes([]string{"x"}, []string{"y"}, []string{"z"}), NewTracker()
 	now := start.Add(2 * backgroundWindow)
@@ -333,20 +338,20 @@
 	for crash := range uint64(minBlamedCrashes) {
 		for name, tracker := range map[string]*Tracker{"old": old, "new": newcomer} {
 			if v := tracker.Check(keyOf("a"), now); v.Standing != Clear {
-				t.Errorf("%s process after %d crashes: %+v", name, crash, v)
+				t.Errorf("%s process after %d crashes: got %+v, want Clear", name, crash, v)
 			}
 			tracker.RecordCrash(keyOf("a"), 100+crash, RequestInfo{}, now)
 		}
 	}
 	for name, tracker := range map[string]*Tracker{"old": old, "new": newcomer} {
 		if v := tracker.Check(keyOf("a"), now); v.Standing != Pending {
-			t.Errorf("%s process: %+v", name, v)
+			t.Errorf("%s process: got %+v, want Pending", name, v)
 		}
 	}
 }
 
-// TestCrashAgesSurviveTransport guards against evidence that grows younger with each process it passes through, and against ages that
-// no process would tell.
+// TestCrashAgesSurviveTransport guards against evidence that becomes younger with each process it passes through,
+// and against ages that no process would send.
 func TestCrashAgesSurviveTransport(t *testing.T) {
 	now := start.Add(time.Minute)
 	sent := []*wire.QuarantineCase{
@@ -364,7 +369,8 @@
 	}
 }
 
-// TestEarlierCrashesOfOtherCauses guards against blame for a request that comes while endpoints are being killed one after the other.
+// TestEarlierCrashesOfOtherCauses guards against blame for a request that arrives while endpoints are being killed
+// one after the other.
 func TestEarlierCrashesOfOtherCauses(t *testing.T) {
 	for _, row := range []struct {
 		before time.Duration
@@ -378,14 +384,15 @@
 			tracker.RecordCrash(keyOf("a"), crash, RequestInfo{}, start.Add(row.before))
 		}
 		if v := tracker.Check(keyOf("a"), start.Add(row.before)); v.Standing != row.want {
-			t.Errorf("%s after others: %+v", row.before, v)
+			t.Errorf("%s after the other crashes: unexpected standing: %+v", row.before, v)
 		}
 	}
 }
 
-// TestKilledEndpointsBlameNoBystander plays endpoints that are killed under streams whose callers try again, for many days, with and without
-// a request among them that crashes endpoints. No stream that only ran beside gets into quarantine while one of nine endpoints
-// is killed every second or less often; the culprit does, soon, however many are killed.
+// TestKilledEndpointsBlameNoBystander simulates endpoints that are killed under streams whose callers retry, in
+// many runs, with and without a request among them that crashes endpoints. No stream that only ran beside is
+// quarantined while one of nine endpoints is killed every second or less often. The culprit is, soon, however many
+// endpoints are killed.
 func TestKilledEndpointsBlameNoBystander(t *testing.T) {
 	const runs = 60
 	for _, killEvery := range []time.Duration{0, 10 * time.Second, 2 * time.Second, time.Second, 600 * time.Millisecond} {
@@ -402,13 +409,13 @@
 					total.crashes += s.crashes
 					total.maxCrashesPerRun = max(total.maxCrashesPerRun, s.crashes)
 				}
-				t.Logf("%d others lost a run, %d were held for a moment, %d are in quarantine; the culprit crashed %.1f endpoints in the mean, %d at most",
+				t.Logf("%d other requests lost an attempt, %d were pending for a moment, %d are quarantined; the culprit crashed %.1f endpoints on average, %d at most",
 					total.lost, total.pending, total.quarantined, float64(total.crashes)/runs, total.maxCrashesPerRun)
 				if total.quarantined > 0 && (killEvery == 0 || killEvery >= time.Second) {
-					t.Errorf("%d requests that only ran beside are in quarantine", total.quarantined)
+					t.Errorf("got %d requests in quarantine that only ran beside, want none", total.quarantined)
 				}
 				if withCulprit && total.maxCrashesPerRun > sufficientCrashes {
-					t.Errorf("the culprit crashed %d endpoints", total.maxCrashesPerRun)
+					t.Errorf("the culprit crashed %d endpoints, want at most sufficientCrashes", total.maxCrashesPerRun)
 				}
 			})
 		}
@@ -416,12 +423,14 @@
 }
 
 type simulationResult struct {
-	// lost, pending and quarantined count others, crashes those of the culprit, maxCrashesPerRun the maxCrashesPerRun of one day.
+	// lost, pending and quarantined count the other requests, crashes those of endpoints that the culprit crashed,
+	// and maxCrashesPerRun is the most of these in one run.
 	lost, pending, quarantined, crashes, maxCrashesPerRun int
 }
 
-// simulation has nine endpoints. Seven streams begin at each step; they have their first event after two, and are done after ten. Who
-// ran at a killed endpoint tries again at another, five times in all.
+// simulation has nine endpoints. Seven streams begin at each step; they have their first event after two steps and
+// are done after ten. A stream that ran at a killed endpoint is retried at another, and runs up to five times in
+// all.
 type simulation struct {
 	simulationResult
 	random      *rand.Rand
@@ -490,7 +499,7 @@
 	}
 }
 
-// complete ends the runs of an endpoint that are done.
+// complete ends the attempts at an endpoint that are done.
 func (s *simulation) complete(e int) {
 	s.running[e] = slices.DeleteFunc(s.running[e], func(r activeAttempt) bool {
 		done := s.now.Sub(r.Sent) >= attemptDuration
--- a/internal/coordination/quarantine/updates.go
+++ b/internal/coordination/quarantine/updates.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// updateSends is how often this process passes a change on: with a few receivers each time, all of several
-	// hundred processes have it though a third of the messages is lost.
+	// updateSends is how often this process sends a change. With a few receivers each time, all of several hundred
+	// processes get it even if a third of the messages is lost.
 	updateSends = 8
-	// suspectUpdateLifetime is how long evidence is news: in a crowd of suspects what has not been told by then would keep
-	// processes talking for half an hour, and helps nobody any more.
+	// suspectUpdateLifetime is how long evidence against suspects is sent. With many suspects, processes would
+	// otherwise go on sending it for half an hour, and what has not been sent by then no longer helps.
 	suspectUpdateLifetime = 5 * time.Second
 )
 
-// enqueueUpdate has a change passed on; b.mu is held.
+// enqueueUpdate has a change sent to other processes; t.mu is held.
 func (t *Tracker) enqueueUpdate(key fingerprint.Key) {
 	t.sendsLeft[key] = updateSends
 	if t.records[key].isUrgent() {
@@ -29,11 +29,12 @@
 	}
 }
 
-// isUrgent tells whether a change is told at once. One crash is held against all that ran there: told at once, they would
-// use up what a process may send when the next crash shows whose doing it is.
+// isUrgent reports whether a change is sent at once. A single crash counts against all requests that were in
+// flight there: sending these at once would use up the rate limit before the next crash shows which request is the
+// cause.
 func (r *Record) isUrgent() bool { return r.isDurable() || len(r.Crashes) > 1 }
 
-// signalUrgent has News receive.
+// signalUrgent makes the channel of UrgentPending receive a value.
 func (t *Tracker) signalUrgent() {
 	select {
 	case t.urgent <- struct{}{}:
@@ -41,15 +42,15 @@
 	}
 }
 
-// compareUrgency orders cases of one sort by which others are to hear of first. Of quarantines it is the one that began
-// last, whenever this process heard of it: while there are more than can be told, a new one would else wait behind
-// hundreds that most processes know.
+// compareUrgency orders records of the same kind, quarantines or suspects, by which others must learn of first.
+// For quarantines it is the one that began last, whenever this process learned of it: while there are more than
+// can be sent, a new one would otherwise wait behind hundreds that most processes know.
 func compareUrgency(a, b *Record) int {
 	return cmp.Or(b.startedAt().Compare(a.startedAt()), cmp.Compare(len(b.Crashes), len(a.Crashes)), b.changed.Compare(a.changed))
 }
 
-// PopUpdates returns changes that are to be passed on in a message of about so many bytes, at least one if there
-// are any; those that must be known first come first.
+// PopUpdates returns changed records for a message of about the given number of bytes, the most urgent first: at
+// least one if there are any. Each counts as sent once.
 func (t *Tracker) PopUpdates(bytes int, now time.Time) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,7 +58,8 @@
 	return out
 }
 
-// PopUrgentUpdates returns the urgent ones of them that have not been passed on once, if any.
+// PopUrgentUpdates is PopUpdates for the urgent changes that have not been sent yet. If not all fit, UrgentPending
+// receives again.
 func (t *Tracker) PopUrgentUpdates(bytes int, now time.Time) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,7 +72,8 @@
 	return out
 }
 
-// dequeueUpdates returns those that are left to be sent as often as wanted, and whether there are more; b.mu is held.
+// dequeueUpdates returns the wanted changes that fit into the given number of bytes, and whether there are more;
+// t.mu is held.
 func (t *Tracker) dequeueUpdates(bytes int, now time.Time, wanted func(r *Record, sends int) bool) (out []Record, more bool) {
 	for _, r := range t.pendingByUrgency(now, wanted) {
 		if bytes -= r.wireSize(); bytes < 0 && len(out) > 0 {
@@ -84,8 +87,9 @@
 	return out, false
 }
 
-// pendingByUrgency returns quarantines and suspects in turn: those of either could else keep a message full while a
-// process that alone knows of one of the others ends. b.mu is held.
+// pendingByUrgency returns quarantines and suspects in turn: either kind could otherwise keep messages full until
+// a process ends that alone knows one of the other kind. It drops wanted suspects that have not changed for
+// suspectUpdateLifetime. t.mu is held.
 func (t *Tracker) pendingByUrgency(now time.Time, wanted func(r *Record, sends int) bool) []*Record {
 	var quarantines, suspects []*Record
 	for key, sends := range t.sendsLeft {
@@ -109,7 +113,7 @@
 	return slices.Concat(out, quarantines[pairs:], suspects[pairs:])
 }
 
-// DurableRecords returns the quarantines, and those lifted of late, by key.
+// DurableRecords returns the quarantined and the recently lifted records, ordered by key.
 func (t *Tracker) DurableRecords() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,20 +127,20 @@
 	return out
 }
 
-// Sample returns at most so many of the cases, in any order: what one message leaves out, others bring.
+// Sample shuffles the records and returns at most n of them: what one message leaves out, others bring.
 func Sample(records []Record, n int) []Record {
 	rand.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
 	return records[:min(len(records), n)]
 }
 
-// Digests are the same, part by part, for two books with the same quarantines. A part holds the fingerprints that
-// begin alike: two books that differ little find where.
+// Digests are equal for two trackers with the same quarantines. Each digest covers one bucket of fingerprints,
+// those with the same first four bits, so that trackers that differ little find out where.
 type Digests [16]uint32
 
-// BucketOf is the part of a digest that a fingerprint belongs to.
+// BucketOf returns the index in Digests of the bucket that a fingerprint belongs to.
 func BucketOf(key fingerprint.Key) int { return int(key[0] >> 4) }
 
-// Digests returns the book's.
+// Digests returns the tracker's digests.
 func (t *Tracker) Digests() Digests {
 	var out Digests
 	if t.IsEmpty() {
@@ -153,7 +157,7 @@
 	return out
 }
 
-// Digest is the same for two books with the same quarantines.
+// Digest is equal for two trackers with the same quarantines; it is 0 without any.
 func (t *Tracker) Digest() uint64 {
 	var data []byte
 	digests := t.Digests()
--- a/internal/coordination/quarantine/wire.go
+++ b/internal/coordination/quarantine/wire.go
@@ -9,13 +9,14 @@
 	"limpetwall/internal/state/fingerprint"
 )
 
-// ageUnit is that of ages on the wire: verdicts look at whole seconds.
+// ageUnit is the unit of ages on the wire: verdicts need no finer resolution than seconds.
 const ageUnit = 100 * time.Millisecond
 
-// errMalformedRecord tells that a message does not say what a case says.
-const errMalformedRecord = errors.ConstError("not a case of a quarantine")
+// errMalformedRecord is returned for a received record that no process would send.
+const errMalformedRecord = errors.ConstError("malformed quarantine record")
 
-// RecordsToWire converts cases for their transport. Clocks differ, so that what is left of a quarantine travels.
+// RecordsToWire converts records to messages. Clocks differ, so a quarantine is sent with the time left, and a
+// crash with its age.
 func RecordsToWire(records []Record, now time.Time) []*wire.QuarantineCase {
 	out := make([]*wire.QuarantineCase, 0, len(records))
 	for i := range records {
@@ -36,7 +37,7 @@
 	return w
 }
 
-// wireSize is about what a case takes of a message.
+// wireSize returns about how many bytes the record takes in a message.
 func (r *Record) wireSize() int {
 	const fixed, perCrash = 32, 10
 	return fixed + perCrash*len(r.Crashes)
@@ -64,14 +65,15 @@
 	return r, nil
 }
 
-// MergeWire takes in what a peer told; the error names the first case that can't be read, and does not keep the others out.
+// MergeWire merges what a peer sent. The error names the first record that can't be decoded; the others are merged
+// all the same.
 func (t *Tracker) MergeWire(records []*wire.QuarantineCase, now time.Time) error {
 	var err error
 	for i, w := range records {
 		r, bad := recordFromWire(w, now)
 		if bad != nil {
 			if err == nil {
-				err = errors.Annotatef(bad, "case %d", i)
+				err = errors.Annotatef(bad, "record %d", i)
 			}
 			continue
 		}
--- a/internal/coordination/quarantinegossip/exchanger.go
+++ b/internal/coordination/quarantinegossip/exchanger.go
@@ -20,25 +20,26 @@
 )
 
 const (
-	// repeatInterval is the time between two repetitions of news.
+	// repeatInterval is the time between two repetitions of updates.
 	repeatInterval = 250 * time.Millisecond
-	// urgentRate and newsBurst, in bytes, bound what a process sends at once, whatever the number of receivers: one that
-	// sees a request crash its third endpoint must tell the others before it comes to one of them. What is beyond
-	// waits for the next repetition.
+	// urgentRate and urgentBurst, in bytes, bound what a process sends at once, whatever the number of receivers:
+	// one that sees a request crash its third endpoint must inform the others before the request reaches one of
+	// them. What exceeds the limit waits for the next repetition.
 	urgentRate  = 512
 	urgentBurst = 4 << 10
-	// compareInterval is the time between two comparisons of quarantines: several may be lost before a process that was
-	// cut off runs what it missed.
+	// compareInterval is the time between two comparisons of quarantines: several may be lost before a process
+	// that was cut off runs a request that it should refuse.
 	compareInterval = 250 * time.Millisecond
-	// fanout others get each round of news.
+	// fanout is the number of other processes that get each update message.
 	fanout = 3
-	// maxBroadcastHosts is the number of others up to which all get them.
+	// maxBroadcastHosts is the number of other processes up to which all of them get it.
 	maxBroadcastHosts = 6
-	// messageBytes is about what one message of news holds: with all repetitions it makes 3 KB/s at most.
+	// messageBytes is about the size of the updates in one message: with all repetitions they take 3 KB/s at most.
 	messageBytes = 200
-	// headerBytes of a datagram count as well.
+	// headerBytes is the size of a datagram's headers, which count as well.
 	headerBytes = 28
-	// recordsPerAnswer bound what a comparison costs; a process that lacks many reads them from the store.
+	// recordsPerAnswer bounds the cost of a comparison; a process that lacks many quarantines reads them from the
+	// store.
 	recordsPerAnswer = 3
 )
 
@@ -49,18 +50,18 @@
 	stepLast
 )
 
-// Exchanger exchanges cases with other processes. Its fields are set before Run.
+// Exchanger exchanges crash records with other processes. Its fields are set before Run.
 type Exchanger struct {
 	Group *datagram.Group
-	// Hosts lists the other processes, of all failure domains: callers turn to any.
+	// Hosts lists the other processes, of all failure domains: callers may turn to any of them.
 	Hosts       func() []netip.Addr
 	Quarantines *quarantine.Tracker
-	// Now is the clock of the book.
+	// Now is the clock of the tracker.
 	Now func() time.Time
 	Log *zap.Logger
 }
 
-// Run exchanges cases until ctx ends.
+// Run exchanges records until ctx ends.
 func (e *Exchanger) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	workers.Go(func() { e.Group.Receive(ctx, e.receive) })
@@ -78,7 +79,7 @@
 	}
 }
 
-// sendUpdates passes news on, the first time at once.
+// sendUpdates sends updates, urgent ones at once and all of them repeatedly, until ctx ends.
 func (e *Exchanger) sendUpdates(ctx context.Context) {
 	urgentLimit := rate.NewLimiter(urgentRate, urgentBurst)
 	repeat := time.NewTicker(repeatInterval)
@@ -97,7 +98,8 @@
 	}
 }
 
-// sendUpdate sends a message of news and returns how many bytes that took. What nobody hears is not taken from the book.
+// sendUpdate sends one message of updates and returns how many bytes that took. Without receivers, nothing is
+// popped from the tracker.
 func (e *Exchanger) sendUpdate(pop func(bytes int, now time.Time) []quarantine.Record) int {
 	hosts := e.Hosts()
 	if len(hosts) == 0 {
@@ -111,7 +113,7 @@
 		rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 		hosts = hosts[:fanout]
 	}
-	// The digest is left out: news alone are no comparison.
+	// The digests are left out: updates alone are no comparison.
 	return e.send(&wire.QuarantineReport{Step: stepLast, Cases: quarantine.RecordsToWire(records, e.Now())}, hosts)
 }
 
@@ -126,15 +128,16 @@
 func (e *Exchanger) send(r *wire.QuarantineReport, hosts []netip.Addr) int {
 	data, err := proto.Marshal(r)
 	if err != nil || len(data) > datagram.MaxSize {
-		e.Log.Error("quarantine report", zap.Int("bytes", len(data)), zap.Error(err))
+		e.Log.Error("quarantine report can't be encoded or is too large", zap.Int("bytes", len(data)), zap.Error(err))
 		return 0
 	}
-	// A message may be lost anyway: news are repeated, and comparisons go on.
+	// A message may be lost anyway: updates are repeated, and so are comparisons.
 	e.Group.Send(data, hosts)
 	return len(hosts) * (len(data) + headerBytes)
 }
 
-// receive takes in a report. A comparison that finds a difference has both sides send what they hold.
+// receive merges a report. If a comparison finds a difference, both sides send some of the records in the buckets
+// that differ.
 func (e *Exchanger) receive(data []byte, from net.Addr) {
 	var r wire.QuarantineReport
 	err := proto.Unmarshal(data, &r)
@@ -158,7 +161,7 @@
 	e.send(answer, []netip.Addr{udp.AddrPort().Addr().Unmap()})
 }
 
-// digestsToWire leaves out the digests of a book without quarantines, as most are.
+// digestsToWire omits the digests of a tracker without quarantines, as most are.
 func digestsToWire(d quarantine.Digests) []uint32 {
 	if d == (quarantine.Digests{}) {
 		return nil
@@ -172,8 +175,8 @@
 	return d
 }
 
-// sampleDifferences draws as many quarantines as fit an answer, of those parts in which two books differ; the next comparison
-// brings others.
+// sampleDifferences returns a random sample of the durable records in buckets where two trackers differ, as many
+// as fit an answer; the next comparison brings others.
 func (e *Exchanger) sampleDifferences(own, other quarantine.Digests) []quarantine.Record {
 	records := slices.DeleteFunc(e.Quarantines.DurableRecords(), func(r quarantine.Record) bool {
 		bucket := quarantine.BucketOf(r.Key)
--- a/internal/coordination/quarantinegossip/exchanger_test.go
+++ b/internal/coordination/quarantinegossip/exchanger_test.go
@@ -23,13 +23,14 @@
 )
 
 const (
-	// largeFleet is the fleet that decides the design, inTime the time in which all of it must know.
+	// largeFleet is the fleet size that the design must support, and maxDelay the time in which all of it must
+	// know of a request.
 	largeFleet = 370
 	maxDelay   = 3 * time.Second
-	// maxRate a second is what a process may send for control, headers included.
+	// maxRate is how many bytes a second a process may send for control, headers included.
 	maxRate = 3 << 10
 	port    = 7704
-	// verdictTime is enough for a verdict to stand.
+	// verdictTime is long enough for a verdict to be final.
 	verdictTime = time.Second
 )
 
@@ -64,7 +65,7 @@
 	}
 }
 
-// start gives a place its next process, which knows nothing.
+// start starts a process with an empty tracker at a host.
 func (f *fleet) start(t *testing.T, n int) {
 	tracker := quarantine.NewTracker()
 	var others []netip.Addr
@@ -92,8 +93,8 @@
 	}
 }
 
-// evaluate has verdicts stand in time, as the guard does: a process that has only heard of the evidence would else date a
-// quarantine by the next one that the test begins there.
+// evaluate makes verdicts final in time, as the guard does. Otherwise, a process that only received the evidence
+// would date a quarantine from the next Evaluate call that the test makes there.
 func evaluate(ctx context.Context, tracker *quarantine.Tracker) {
 	for pause.For(ctx, 250*time.Millisecond) {
 		tracker.Evaluate(time.Now())
@@ -109,13 +110,14 @@
 
 func (f *fleet) address(n int) netip.AddrPort { return netip.AddrPortFrom(f.hosts[n], port) }
 
-// sendRate is what a process has sent a second, headers included, in the time since the last look.
+// sendRate returns the mean bytes a second that each process has sent since the last look at the network's
+// counters, headers included.
 func (f *fleet) sendRate(passed time.Duration) float64 {
 	datagrams, bytes := f.network.Sent()
 	return float64(bytes+headerBytes*datagrams) / float64(len(f.hosts)) / passed.Seconds()
 }
 
-// quarantine has a process put requests into quarantine: five crashes are enough whatever else crashed.
+// quarantine makes a process quarantine requests: five crashes are enough whatever else crashed.
 func (f *fleet) quarantine(n int, keys ...fingerprint.Key) {
 	for _, key := range keys {
 		for crash := range uint64(5) {
@@ -136,8 +138,8 @@
 	return count
 }
 
-// TestAllProcessesLearnInTime guards against a request crashing further endpoints at processes that have not heard of it: three processes
-// have seen one crash each, and a third of all messages is lost.
+// TestAllProcessesLearnInTime guards against a request crashing further endpoints at processes that have not
+// learned of it: three processes have seen one crash each, and a third of all messages is lost.
 func TestAllProcessesLearnInTime(t *testing.T) {
 	for _, size := range []int{2, 5, 40, largeFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -152,11 +154,11 @@
 				}
 				time.Sleep(maxDelay)
 				if n := f.countUnaware(keyOf(1)); n > 0 {
-					t.Errorf("%d processes would run the request", n)
+					t.Errorf("%d processes would run the request, want 0", n)
 				}
 				time.Sleep(2 * maxDelay)
 				if rate := f.sendRate(3 * maxDelay); rate > maxRate {
-					t.Errorf("%.0f bytes/s a process", rate)
+					t.Errorf("got %.0f bytes/s a process, want at most maxRate", rate)
 				}
 				f.stopAll()
 			})
@@ -164,8 +166,8 @@
 	}
 }
 
-// TestMissedUpdatesAreCaughtUp guards against a process that was killed, frozen or cut off while the news went round
-// running the request when it is back.
+// TestMissedUpdatesAreCaughtUp guards against a process that was killed, frozen or cut off while updates were
+// sent, and runs the request when it is back.
 func TestMissedUpdatesAreCaughtUp(t *testing.T) {
 	for _, size := range []int{2, 5, largeFleet} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -181,7 +183,7 @@
 				f.start(t, 1)
 				time.Sleep(maxDelay)
 				if n := f.countUnaware(keyOf(1)); n > 0 {
-					t.Errorf("%d processes would run the request", n)
+					t.Errorf("%d processes would run the request, want 0", n)
 				}
 				f.stopAll()
 			})
@@ -189,8 +191,8 @@
 	}
 }
 
-// TestUpdatesOutliveTheirProcess guards against evidence that is lost with the process that has it, as it is killed within milliseconds
-// of the crashes that it saw.
+// TestUpdatesOutliveTheirProcess guards against evidence that is lost with the process that has it, as that is
+// killed within milliseconds of the crashes that it saw.
 func TestUpdatesOutliveTheirProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5)
@@ -201,14 +203,14 @@
 		}
 		f.kill(0)
 		if n := f.countUnaware(keyOf(1)); n > 0 {
-			t.Errorf("%d of the other processes would run the request", n)
+			t.Errorf("%d of the other processes would run the request, want 0", n)
 		}
 		f.stopAll()
 	})
 }
 
-// TestEvidenceIsSentBesideQuarantines guards against evidence that waits behind new quarantines until the process that
-// has it is gone.
+// TestEvidenceIsSentBesideQuarantines guards against evidence that waits behind new quarantines until the process
+// that has it is gone.
 func TestEvidenceIsSentBesideQuarantines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
@@ -222,21 +224,21 @@
 		f.trackers[2].RecordCrash(keyOf(1), 2, quarantine.RequestInfo{}, time.Now())
 		time.Sleep(time.Second)
 		if n := f.countUnaware(keyOf(1)); n > 0 {
-			t.Errorf("%d of the other processes would run the request", n)
+			t.Errorf("%d of the other processes would run the request, want 0", n)
 		}
 		f.stopAll()
 	})
 }
 
-// TestUrgentUpdatesDoNotWait guards against a process running a request that another saw crash its third endpoint a moment
-// ago, as that one was repeating older news.
+// TestUrgentUpdatesDoNotWait guards against a process running a request that another has just seen crash its third
+// endpoint, because that one was repeating older updates.
 func TestUrgentUpdatesDoNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5)
 		for i := range 10 {
 			culprit := keyOf(100 + i)
 			f.quarantine(0, culprit)
-			// The first of its crashes ended runs of all processes.
+			// The first of its crashes interrupted requests of all processes.
 			for n, tracker := range f.trackers {
 				for run := range 4 {
 					tracker.RecordCrash(keyOf(1000+100*i+10*n+run), binary.BigEndian.Uint64(culprit[:]), quarantine.RequestInfo{}, time.Now())
@@ -249,24 +251,24 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if n := f.countUnaware(keyOf(1)); n > 0 {
-			t.Errorf("%d processes would run the request", n)
+			t.Errorf("%d processes would run the request, want 0", n)
 		}
 		f.stopAll()
 	})
 }
 
-// TestEvidenceWaitsForPeers guards against evidence that counts as told while a process knows no other.
+// TestEvidenceWaitsForPeers guards against evidence that counts as sent while a process knows no other.
 func TestEvidenceWaitsForPeers(t *testing.T) {
 	e := &Exchanger{Quarantines: quarantine.NewTracker(), Now: time.Now, Log: zap.NewNop(), Hosts: func() []netip.Addr { return nil }}
 	e.Quarantines.RecordCrash(keyOf(1), 1, quarantine.RequestInfo{}, time.Now())
 	e.Quarantines.RecordCrash(keyOf(1), 2, quarantine.RequestInfo{}, time.Now())
 	for range 100 {
 		if e.sendUpdate(e.Quarantines.PopUrgentUpdates) != 0 || e.sendUpdate(e.Quarantines.PopUpdates) != 0 {
-			t.Fatal("told nobody")
+			t.Fatal("bytes were sent without any receiver")
 		}
 	}
 	if records := e.Quarantines.PopUrgentUpdates(messageBytes, time.Now()); len(records) != 1 {
-		t.Errorf("%d cases are left to be told", len(records))
+		t.Errorf("got %d records left to send, want 1", len(records))
 	}
 }
 
@@ -283,14 +285,15 @@
 		f.network.Cut(f.address(11), false)
 		time.Sleep(maxDelay)
 		if n := f.countUnaware(keyOf(1)); n != 12 {
-			t.Errorf("%d of 12 processes would run the request", n)
+			t.Errorf("%d of 12 processes would run the request, want all", n)
 		}
 		f.stopAll()
 	})
 }
 
-// TestTrafficIsBounded guards against a customer with hundreds of such requests, or the crash of many busy endpoints, filling
-// the network: a process's bytes are bounded, and what matters most is not delayed by the rest.
+// TestTrafficIsBounded guards against a customer with hundreds of such requests, or the crash of many busy
+// endpoints, filling the network: the bytes that a process sends are bounded, and what matters most is not delayed
+// by the rest.
 func TestTrafficIsBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -309,22 +312,23 @@
 		f.quarantine(3, keyOf(1))
 		time.Sleep(maxDelay)
 		if rate := f.sendRate(2 * maxDelay); rate > 2*maxRate {
-			t.Errorf("%.0f bytes/s a process", rate)
+			t.Errorf("got %.0f bytes/s a process, want at most twice maxRate", rate)
 		}
 		if n := f.countUnaware(keyOf(1)); n > 0 {
-			t.Errorf("%d processes would run the newest request", n)
+			t.Errorf("%d processes would run the newest request, want 0", n)
 		}
 		time.Sleep(time.Minute)
 		for _, key := range many {
 			if n := f.countUnaware(key); n > 0 {
-				t.Fatalf("%d processes would run one of the many", n)
+				t.Fatalf("%d processes would run one of the many requests, want 0", n)
 			}
 		}
 		f.stopAll()
 	})
 }
 
-// TestOldEvidenceIsNotRepeated guards against processes that go on talking of suspects long after a crash of many busy endpoints.
+// TestOldEvidenceIsNotRepeated guards against processes that still exchange suspects long after a crash of many
+// busy endpoints.
 func TestOldEvidenceIsNotRepeated(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -337,26 +341,27 @@
 		f.network.Sent()
 		time.Sleep(time.Minute)
 		if rate := f.sendRate(time.Minute); rate > maxRate/20 {
-			t.Errorf("%.0f bytes/s a process a minute later", rate)
+			t.Errorf("got %.0f bytes/s a process a minute later, want at most a 20th of maxRate", rate)
 		}
 		f.stopAll()
 	})
 }
 
-// TestIdleFleetSendsLittle guards against control traffic that grows while there is nothing to tell.
+// TestIdleFleetSendsLittle guards against control traffic that grows while there is nothing to send.
 func TestIdleFleetSendsLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 40)
 		f.network.Sent()
 		time.Sleep(time.Minute)
 		if rate := f.sendRate(time.Minute); rate > maxRate/20 {
-			t.Errorf("%.0f bytes/s a process", rate)
+			t.Errorf("got %.0f bytes/s a process, want at most a 20th of maxRate", rate)
 		}
 		f.stopAll()
 	})
 }
 
-// TestMalformedReports refuses what no process would tell, and takes in what comes beside it.
+// TestMalformedReports checks that records that no process would send are refused, and valid ones beside them are
+// merged.
 func TestMalformedReports(t *testing.T) {
 	valid := &wire.QuarantineCase{Fingerprint: make([]byte, fingerprint.Size), Level: 1, LeftMs: 1000}
 	rows := map[string]*wire.QuarantineCase{
@@ -373,7 +378,7 @@
 		e.receive(data, &net.UDPAddr{})
 		e.receive([]byte("\xff\xff"), &net.UDPAddr{})
 		if got := len(tracker.DurableRecords()); got != 1 {
-			t.Errorf("%s: %d quarantines", name, got)
+			t.Errorf("%s: got %d quarantines, want 1", name, got)
 		}
 	}
 }
@@ -393,7 +398,7 @@
 		now := time.Now()
 		for _, r := range tracker.DurableRecords() {
 			if r.Level > 0 && r.Until.After(now.Add(2*time.Hour)) {
-				t.Errorf("a quarantine until %s", r.Until)
+				t.Errorf("got a quarantine until %s, want at most 2 hours", r.Until)
 			}
 		}
 		tracker.Evaluate(now)
