--- a/internal/coordination/quarantine/store.go
+++ b/internal/coordination/quarantine/store.go
@@ -83,11 +83,11 @@
 	if err != nil {
 		return nil, 0, errors.Trace(err)
 	}
-	var r storedList
-	if err := json.Unmarshal(o.Value, &r); err != nil {
+	var list storedList
+	if err := json.Unmarshal(o.Value, &list); err != nil {
 		return nil, o.Version, errors.WithType(err, errMalformedList)
 	}
-	return r.Entries, o.Version, nil
+	return list.Entries, o.Version, nil
 }
 
 // errMalformedList is returned when the stored bytes aren't what these processes write.
--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -159,22 +159,22 @@
 
 // isUninformative reports whether a record needs no place in a tracker: its quarantine has expired, or it is not
 // quarantined, lists no crashes and was never cleared.
-func isUninformative(other Record, now time.Time) bool {
-	if other.Level > 0 {
-		return !now.Before(other.expiresAt())
+func isUninformative(r Record, now time.Time) bool {
+	if r.Level > 0 {
+		return !now.Before(r.expiresAt())
 	}
-	return other.Round == 0 && len(other.Crashes) == 0
+	return r.Round == 0 && len(r.Crashes) == 0
 }
 
 // clampUntil limits a quarantine to the length for its level: another process's clock must not make it longer.
-func clampUntil(other Record, now time.Time) time.Time {
-	if other.Level == 0 {
+func clampUntil(r Record, now time.Time) time.Time {
+	if r.Level == 0 {
 		return time.Time{}
 	}
-	if latest := now.Add(quarantineDuration(other.Level)); other.Until.After(latest) {
+	if latest := now.Add(quarantineDuration(r.Level)); r.Until.After(latest) {
 		return latest
 	}
-	return other.Until
+	return r.Until
 }
 
 func (t *Tracker) index(r *Record) {
--- a/internal/coordination/quarantinegossip/exchanger_test.go
+++ b/internal/coordination/quarantinegossip/exchanger_test.go
@@ -240,8 +240,8 @@
 			f.quarantine(0, culprit)
 			// The first of its crashes interrupted requests of all processes.
 			for n, tracker := range f.trackers {
-				for run := range 4 {
-					tracker.RecordCrash(keyOf(1000+100*i+10*n+run), binary.BigEndian.Uint64(culprit[:]), quarantine.RequestInfo{}, time.Now())
+				for bystander := range 4 {
+					tracker.RecordCrash(keyOf(1000+100*i+10*n+bystander), binary.BigEndian.Uint64(culprit[:]), quarantine.RequestInfo{}, time.Now())
 				}
 			}
 			time.Sleep(500 * time.Millisecond)
