--- a/bench/capacity/fleet.go
+++ b/bench/capacity/fleet.go
@@ -242,7 +242,7 @@
 	json.Unmarshal(d.Spec, &c)
 	c.Salt, c.Share = nil, float64(number+2)
 	d.Spec, _ = json.Marshal(c)
-	p := plan.Make(n.store.View(), plan.Request{Put: []config.Document{d}}, nil, "op", fmt.Sprint(number), time.Now())
+	p := plan.New(n.store.View(), plan.Request{Put: []config.Document{d}}, nil, "op", fmt.Sprint(number), time.Now())
 	verdict := confirmer.Confirm(b.ctx, p)
 	began := time.Now()
 	n.node.Announce()
--- a/internal/command/dev.go
+++ b/internal/command/dev.go
@@ -247,7 +247,7 @@
 	if err := d.operator("/v1/plans", d.devRequest(), &p); err != nil {
 		return err
 	}
-	var verdict plan.Verdict
+	var verdict plan.Result
 	return d.operator("/v1/plans/confirm", p, &verdict)
 }
 
--- a/internal/coordination/configlog/configlog.go
+++ b/internal/coordination/configlog/configlog.go
@@ -39,8 +39,8 @@
 	version int64
 }
 
-// SameVersion tells whether two heads were read at the same version.
-func (h Head) SameVersion(o Head) bool { return h.version == o.version }
+// HasSameVersion reports whether two heads were read at the same version.
+func (h Head) HasSameVersion(o Head) bool { return h.version == o.version }
 
 // Log reads and extends the accepted changes.
 type Log struct {
--- a/internal/coordination/entry/operators.go
+++ b/internal/coordination/entry/operators.go
@@ -32,7 +32,7 @@
 	if l := plan.Check(view, request); l.Err() != nil {
 		return apierror.FromFindings(l.Items())
 	}
-	httpjson.Write(w, http.StatusOK, plan.Make(view, request, e.members(), operator, newRequestID(), time.Now()))
+	httpjson.Write(w, http.StatusOK, plan.New(view, request, e.members(), operator, newRequestID(), time.Now()))
 	return nil
 }
 
@@ -50,7 +50,7 @@
 	if err := e.decodeStrict(w, r, &p); err != nil {
 		return err
 	}
-	if !p.Intact() {
+	if !p.IsIntact() {
 		return apierror.New(http.StatusBadRequest, apierror.CodeBadRequest, "the plan was changed after it was made; plan again")
 	}
 	if p.Operator != operator {
@@ -75,13 +75,13 @@
 	id := r.PathValue("id")
 	revision, ok := e.Store.View().Plans[id]
 	if !ok {
-		httpjson.Write(w, http.StatusAccepted, plan.Verdict{
+		httpjson.Write(w, http.StatusAccepted, plan.Result{
 			Outcome: plan.Unknown, PlanID: id,
 			Message: "not seen in the configuration in force here; confirm the plan again to settle it",
 		})
 		return nil
 	}
-	httpjson.Write(w, http.StatusOK, plan.Verdict{Outcome: plan.Applied, PlanID: id, Revision: revision, Message: "the plan is applied"})
+	httpjson.Write(w, http.StatusOK, plan.Result{Outcome: plan.Applied, PlanID: id, Revision: revision, Message: "the plan is applied"})
 	return nil
 }
 
--- a/internal/coordination/gossip/cluster_test.go
+++ b/internal/coordination/gossip/cluster_test.go
@@ -284,7 +284,7 @@
 		Ref:  config.Ref{Kind: config.KindService, ID: fmt.Sprintf("service-%d", number)},
 		Spec: []byte(`{"kind":"prompt","customers":["*"],"objective":{},"limits":{}}`),
 	}}}
-	p := plan.Make(m.store.View(), request, nil, "op", fmt.Sprint(number), time.Now())
+	p := plan.New(m.store.View(), request, nil, "op", fmt.Sprint(number), time.Now())
 	verdict := confirmer.Confirm(context.Background(), p)
 	if verdict.Outcome != plan.Applied {
 		c.t.Fatalf("confirm: %+v", verdict)
--- a/internal/coordination/plan/confirm.go
+++ b/internal/coordination/plan/confirm.go
@@ -15,7 +15,7 @@
 type Confirmer struct {
 	Log   *configlog.Log
 	Store *config.Store
-	Salt  NewSalt
+	Salt  SaltFunc
 	Now   func() time.Time
 	// MaxTries bounds the writes of one confirm.
 	MaxTries int
@@ -29,7 +29,7 @@
 // the revision, the other meets a conflict, and the next read finds the plan's
 // id. "Not applied" is only said before any write was sent, or once the head
 // has moved past the version that a lost write was bound to.
-func (c *Confirmer) Confirm(ctx context.Context, p Plan) Verdict {
+func (c *Confirmer) Confirm(ctx context.Context, p Plan) Result {
 	unresolved := false
 	var lost configlog.Head
 	for range c.MaxTries {
@@ -49,12 +49,12 @@
 		if verdict.Outcome != Ready {
 			return verdict
 		}
-		if unresolved && !head.SameVersion(lost) {
+		if unresolved && !head.HasSameVersion(lost) {
 			unresolved = false
 		}
-		change, err := Change(view, p, c.Salt, c.Now())
+		change, err := BuildChange(view, p, c.Salt, c.Now())
 		if err != nil {
-			return Verdict{Outcome: Invalid, PlanID: p.ID, Message: err.Error()}
+			return Result{Outcome: Invalid, PlanID: p.ID, Message: err.Error()}
 		}
 		err = c.Log.Append(ctx, head, view, change)
 		switch {
@@ -73,19 +73,19 @@
 
 // applied puts the accepted change in force here at once. The next reader of
 // the platform or of a peer repairs a failure, so it does not change the answer.
-func (c *Confirmer) applied(p Plan, change config.Change) Verdict {
+func (c *Confirmer) applied(p Plan, change config.Change) Result {
 	c.Store.Apply(change)
-	return Verdict{Outcome: Applied, PlanID: p.ID, Revision: change.Revision, Message: "the plan is applied"}
+	return Result{Outcome: Applied, PlanID: p.ID, Revision: change.Revision, Message: "the plan is applied"}
 }
 
-func withoutPlatform(p Plan, unresolved bool, err error) Verdict {
+func withoutPlatform(p Plan, unresolved bool, err error) Result {
 	if unresolved {
-		return Verdict{
+		return Result{
 			Outcome: Unknown, PlanID: p.ID,
 			Message: "the platform did not answer after the write was sent: confirm the same plan again to learn its outcome (" + err.Error() + ")",
 		}
 	}
-	return Verdict{
+	return Result{
 		Outcome: Unavailable, PlanID: p.ID,
 		Message: "not applied: " + err.Error(),
 	}
--- a/internal/coordination/plan/plan.go
+++ b/internal/coordination/plan/plan.go
@@ -138,8 +138,8 @@
 	return config.Change{Puts: r.Put, Deletes: r.Delete}
 }
 
-// Make builds the plan of a checked request.
-func Make(v *config.View, r Request, members []fleet.Member, operator, nonce string, now time.Time) Plan {
+// New builds the plan of a checked request.
+func New(v *config.View, r Request, members []fleet.Member, operator, nonce string, now time.Time) Plan {
 	p := Plan{
 		Operator: operator, Nonce: nonce, At: now.UTC(), BaseRevision: v.Revision, Request: r,
 		Bases: []Base{}, Steps: []Step{}, Effects: []Effect{}, Warnings: []string{},
@@ -197,8 +197,8 @@
 	return hex.EncodeToString(h[:])
 }
 
-// Intact tells whether the plan is as an entry made it.
-func (p Plan) Intact() bool {
+// IsIntact tells whether the plan is as an entry made it.
+func (p Plan) IsIntact() bool {
 	return hmac.Equal([]byte(p.ID), []byte(p.Digest()))
 }
 
@@ -228,8 +228,8 @@
 	Now       uint64 `json:"now"`
 }
 
-// Verdict is the answer to a confirm.
-type Verdict struct {
+// Result is the answer to a confirm.
+type Result struct {
 	Outcome     Outcome           `json:"outcome"`
 	PlanID      string            `json:"plan_id"`
 	Revision    uint64            `json:"revision,omitempty"`
@@ -240,9 +240,9 @@
 
 // Decide tells what a confirm of p means at a view: already applied, moved,
 // invalid, or ready to be written as the next revision.
-func Decide(v *config.View, p Plan) Verdict {
+func Decide(v *config.View, p Plan) Result {
 	if revision, ok := v.Plans[p.ID]; ok {
-		return Verdict{Outcome: Applied, PlanID: p.ID, Revision: revision, Message: "the plan is applied"}
+		return Result{Outcome: Applied, PlanID: p.ID, Revision: revision, Message: "the plan is applied"}
 	}
 	var moved []Difference
 	for _, b := range p.Bases {
@@ -251,26 +251,26 @@
 		}
 	}
 	if len(moved) > 0 {
-		return Verdict{
+		return Result{
 			Outcome: BaseMoved, PlanID: p.ID, Differences: moved,
 			Message: "not applied: documents changed since the plan was made; plan again",
 		}
 	}
 	if l := Check(v, p.Request); l.Err() != nil {
-		return Verdict{
+		return Result{
 			Outcome: Invalid, PlanID: p.ID, Findings: l.Items(),
 			Message: "not applied: other changes since the plan make it invalid",
 		}
 	}
-	return Verdict{Outcome: Ready, PlanID: p.ID}
+	return Result{Outcome: Ready, PlanID: p.ID}
 }
 
-// NewSalt makes a customer's secret salt.
-type NewSalt func() []byte
+// SaltFunc makes a customer's secret salt.
+type SaltFunc func() []byte
 
-// Change builds the accepted change of a plan that Decide found ready. A
+// BuildChange builds the accepted change of a plan that Decide found ready. A
 // customer keeps its salt for life: with a new one its contexts would be lost.
-func Change(v *config.View, p Plan, newSalt NewSalt, now time.Time) (config.Change, error) {
+func BuildChange(v *config.View, p Plan, newSalt SaltFunc, now time.Time) (config.Change, error) {
 	c := config.Change{
 		Revision: v.Revision + 1, PlanID: p.ID, Operator: p.Operator, At: now.UTC(),
 		Deletes: p.Request.Delete,
@@ -351,7 +351,7 @@
 		for _, i := range intents {
 			usable, wrongVersion := 0, 0
 			for _, m := range members {
-				if !Available(m) || !Matches(i, m.Endpoint) {
+				if !IsAvailable(m) || !Matches(i, m.Endpoint) {
 					continue
 				}
 				if !fits(i, m.Endpoint) {
@@ -387,13 +387,13 @@
 		(i.Adapter == "" || i.Adapter == e.Adapter)
 }
 
-// Available tells whether a member's endpoint may get new work: a leaving or
+// IsIsAvailable reports whether a member's endpoint may get new work: a leaving or
 // dead one may not, and one that was leaving before it fell silent neither.
-func Available(m fleet.Member) bool {
+func IsAvailable(m fleet.Member) bool {
 	return m.Endpoint.ID != "" && !m.Endpoint.Loading && !m.WasLeaving && (m.State == fleet.Alive || m.State == fleet.Suspect)
 }
 
-// Usable tells whether an endpoint may serve an intent's requests now.
-func Usable(i *config.Intent, m fleet.Member) bool {
-	return Available(m) && Matches(i, m.Endpoint) && fits(i, m.Endpoint)
+// IsUsable tells whether an endpoint may serve an intent's requests now.
+func IsUsable(i *config.Intent, m fleet.Member) bool {
+	return IsAvailable(m) && Matches(i, m.Endpoint) && fits(i, m.Endpoint)
 }
--- a/internal/coordination/plan/plan_test.go
+++ b/internal/coordination/plan/plan_test.go
@@ -73,7 +73,7 @@
 	for _, id := range ids {
 		r.Put = append(r.Put, service(id))
 	}
-	return plan.Make(v, r, nil, "op", nonce, epoch)
+	return plan.New(v, r, nil, "op", nonce, epoch)
 }
 
 // TestConfirmGivesTheOneTrueAnswer confirms under each fate of its writes.
@@ -152,7 +152,7 @@
 	for _, same := range []bool{true, false} {
 		api := standin.New()
 		var group sync.WaitGroup
-		verdicts := make([]plan.Verdict, 8)
+		verdicts := make([]plan.Result, 8)
 		for i := range verdicts {
 			store := config.NewStore()
 			id := "same"
@@ -268,7 +268,7 @@
 		return config.Document{Ref: config.Ref{Kind: config.KindCustomer, ID: "c"}, Spec: json.RawMessage(spec)}
 	}
 	for _, share := range []string{"1", "2"} {
-		p := plan.Make(store.View(), plan.Request{Put: []config.Document{customer(share)}}, nil, "op", share, epoch)
+		p := plan.New(store.View(), plan.Request{Put: []config.Document{customer(share)}}, nil, "op", share, epoch)
 		if v := c.Confirm(t.Context(), p); v.Outcome != plan.Applied {
 			t.Fatalf("%+v", v)
 		}
@@ -308,7 +308,7 @@
 		{intent("x", "v1"), "", 0},
 	}
 	for _, row := range rows {
-		p := plan.Make(base, plan.Request{Put: []config.Document{row.put}}, members, "op", "n", epoch)
+		p := plan.New(base, plan.Request{Put: []config.Document{row.put}}, members, "op", "n", epoch)
 		var got []string
 		for _, e := range p.Effects {
 			got = append(got, e.Endpoint+" "+e.Change)
@@ -316,11 +316,11 @@
 		if strings.Join(got, ", ") != row.effects || len(p.Warnings) != row.warnings {
 			t.Errorf("%s: effects %v, warnings %v", row.put.Spec, got, p.Warnings)
 		}
-		if !p.Intact() {
+		if !p.IsIntact() {
 			t.Error("plan is not intact")
 		}
 		p.Request.Put[0].ID = "other"
-		if p.Intact() {
+		if p.IsIntact() {
 			t.Error("a changed plan passes for intact")
 		}
 	}
--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -92,7 +92,7 @@
 		if m.Endpoint.OrderError != "" && m.Endpoint.OrderRevision == revision {
 			s.failure = fmt.Sprintf("stopped: %s: %s", m.Endpoint.ID, m.Endpoint.OrderError)
 		}
-		if plan.Usable(intent, m) {
+		if plan.IsUsable(intent, m) {
 			s.usable++
 		}
 		if !serves(intent, m.Endpoint) {
@@ -124,14 +124,14 @@
 // goes first: loading it costs no capacity.
 func (s state) next(intent *config.Intent) (given []fleet.Member, reason string) {
 	sort.SliceStable(s.wrong, func(a, b int) bool {
-		return !plan.Usable(intent, s.wrong[a]) && plan.Usable(intent, s.wrong[b])
+		return !plan.IsUsable(intent, s.wrong[a]) && plan.IsUsable(intent, s.wrong[b])
 	})
 	room := intent.Loading() - s.loading
 	for _, m := range s.wrong {
 		if len(given) >= room {
 			break
 		}
-		if plan.Usable(intent, m) {
+		if plan.IsUsable(intent, m) {
 			if s.usable-1 < max(1, intent.MinEndpoints) {
 				return given, fmt.Sprintf("waiting: %d usable endpoints, %d must stay", s.usable, max(1, intent.MinEndpoints))
 			}
--- a/internal/coordination/routing/directory.go
+++ b/internal/coordination/routing/directory.go
@@ -96,7 +96,7 @@
 
 func firstUsableIntent(intents []*config.Intent, m fleet.Member) *config.Intent {
 	for _, i := range intents {
-		if plan.Usable(i, m) {
+		if plan.IsUsable(i, m) {
 			return i
 		}
 	}
--- a/internal/operatorcli/commands.go
+++ b/internal/operatorcli/commands.go
@@ -98,7 +98,7 @@
 		if err := readJSON(c.args[0], &p); err != nil {
 			return c.fail(err)
 		}
-		var verdict plan.Verdict
+		var verdict plan.Result
 		_, err := c.call(http.MethodPost, "/v1/plans/confirm", p, &verdict,
 			http.StatusConflict, http.StatusUnprocessableEntity, http.StatusServiceUnavailable, http.StatusAccepted)
 		if err != nil {
@@ -123,7 +123,7 @@
 	}
 }
 
-func (c *cli) printVerdict(v plan.Verdict) {
+func (c *cli) printVerdict(v plan.Result) {
 	fmt.Fprintf(c.Out, "%s: %s\n", v.Outcome, v.Message)
 	if v.Revision > 0 {
 		fmt.Fprintf(c.Out, "revision %d\n", v.Revision)
