--- a/bench/capacity/weigh.go
+++ b/bench/capacity/weigh.go
@@ -73,7 +73,7 @@
 			cfg := ledger.DefaultConfig()
 			cfg.MaxBytes = 1 << 40
 			l := ledger.New(cfg, 1)
-			first, _ := l.Mint(many, time.Now())
+			first, _ := l.Issue(many, time.Now())
 			for i := range many {
 				r, _, _ := l.Begin(1, first+uint64(i), "customer", make([]byte, 32), time.Now())
 				r.Append(make([]byte, 500), 500)
@@ -165,11 +165,11 @@
 			}
 		}))
 	}
-	text := string(make([]byte, 5*contextkey.PieceBytes))
+	text := string(make([]byte, 5*contextkey.ChunkBytes))
 	out = append(out, measure("naming a context of 10,000 tokens", 5, func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			contextkey.Chain(contextkey.Scope{Salt: []byte("salt"), Model: "m"}, text)
+			contextkey.ChunkKeys(contextkey.Scope{Salt: []byte("salt"), Model: "m"}, text)
 		}
 	}))
 	out = append(out, measure("hashing an idempotency key", 1, func(b *testing.B) {
--- a/bench/decisions/policies.go
+++ b/bench/decisions/policies.go
@@ -58,13 +58,13 @@
 func chooseOurs(w *world, entry int, keys []contextkey.Key) (int, func(int, int)) {
 	d := w.dirs[entry]
 	r := &routing.Request{
-		PlacementHash: routing.PlacementHash(keys, ""), PromptTokens: len(keys)*contextkey.PieceTokens + newTokens,
+		PlacementHash: routing.PlacementHash(keys, ""), PromptTokens: len(keys)*contextkey.ChunkTokens + newTokens,
 		Objective: w.site.objective, Domain: w.tables[entry].Self().Domain, Now: w.clock(),
 	}
 	c := d.Choose("s", keys, r)
 	index := int(c.Member.Incarnation) - 1
 	return index, func(cached, imported int) {
-		d.RecordCachedTokens(c, cached*contextkey.PieceTokens, imported*contextkey.PieceTokens, w.clock())
+		d.RecordCachedTokens(c, cached*contextkey.ChunkTokens, imported*contextkey.ChunkTokens, w.clock())
 		d.ObserveLoad(c, w.loadOf(index), w.clock())
 		d.Done(c, false, w.clock())
 	}
@@ -109,11 +109,11 @@
 		arrives[s] += pieceBytes / linkRate
 		transfer = max(transfer, arrives[s])
 	}
-	redone := float64((len(keys)-resident-n)*contextkey.PieceTokens + newTokens)
+	redone := float64((len(keys)-resident-n)*contextkey.ChunkTokens + newTokens)
 	ttft := max(transfer, max(0, e.freeAt-w.now).Seconds()) + redone/prefillRate
 	o := w.site.objective
 	late := max(0, 1-o.WeightTTFT) * max(0, ttft-float64(o.TTFTMS)/1000)
-	return late + o.WeightTTFT*ttft + o.WeightRecompute*redone/1000 + o.WeightLink*float64(n)*contextkey.PieceTokens/1000
+	return late + o.WeightTTFT*ttft + o.WeightRecompute*redone/1000 + o.WeightLink*float64(n)*contextkey.ChunkTokens/1000
 }
 
 func oracleBest(w *world, e *fakeEngine, keys []contextkey.Key) (cost float64, from, n int) {
--- a/bench/decisions/replay.go
+++ b/bench/decisions/replay.go
@@ -182,7 +182,7 @@
 	}
 	return fleet.Load{
 		AtMS: w.clock().UnixMilli(), Running: e.runs, QueuedTokens: w.backlog(e), PrefillRate: prefillRate,
-		LinkRate: int(link / pieceBytes * contextkey.PieceTokens),
+		LinkRate: int(link / pieceBytes * contextkey.ChunkTokens),
 	}
 }
 
@@ -216,7 +216,7 @@
 func replay(s site, c conditions, p policy, requests int, seed uint64) result {
 	w := newWorld(s, c, p, seed)
 	trace := rand.New(rand.NewPCG(seed, 99))
-	mean := float64(s.minPieces+s.maxPieces) / 2 * contextkey.PieceTokens
+	mean := float64(s.minPieces+s.maxPieces) / 2 * contextkey.ChunkTokens
 	// Full load is what the engines could do if every second piece were resident
 	// or imported.
 	perSecond := c.load * engines * prefillRate / (mean/2 + newTokens)
@@ -335,7 +335,7 @@
 
 func (w *world) prefill(r *run) {
 	cached := r.engine.residentPieces(r.keys)
-	tokens := (len(r.keys)-cached)*contextkey.PieceTokens + newTokens
+	tokens := (len(r.keys)-cached)*contextkey.ChunkTokens + newTokens
 	start := max(w.now, r.engine.freeAt)
 	end := start + time.Duration(float64(tokens)/prefillRate*float64(time.Second))
 	r.engine.freeAt = end
@@ -354,7 +354,7 @@
 	}
 	if r.measured {
 		w.ttft = append(w.ttft, float64((w.now-r.began+w.site.rtt).Microseconds())/1000)
-		w.promptTokens += float64(len(r.keys)*contextkey.PieceTokens + newTokens)
+		w.promptTokens += float64(len(r.keys)*contextkey.ChunkTokens + newTokens)
 		w.redone += float64(tokens)
 	}
 	r.done(cached, r.imported)
--- a/internal/command/agent.go
+++ b/internal/command/agent.go
@@ -46,7 +46,7 @@
 		}
 		s.readLabels(l, *labels)
 		s.Agent.StatusEvery = *status
-		s.Agent.Ledger.TicketTTL, s.Agent.Ledger.KeepFor, s.Agent.Ledger.MaxBytes = *ticketTTL, *keepFor, int64(*maxKept)
+		s.Agent.Ledger.TicketTTL, s.Agent.Ledger.Retention, s.Agent.Ledger.MaxBytes = *ticketTTL, *keepFor, int64(*maxKept)
 	})
 	return s
 }
--- a/internal/coordination/agent/agent.go
+++ b/internal/coordination/agent/agent.go
@@ -186,7 +186,7 @@
 // MintTickets implements wire.AgentServer.
 func (a *Agent) MintTickets(_ context.Context, r *wire.MintTicketsRequest) (*wire.MintTicketsResponse, error) {
 	count := min(int(r.GetCount()), 1024)
-	first, err := a.ledger.Mint(count, time.Now())
+	first, err := a.ledger.Issue(count, time.Now())
 	if err != nil || a.leaving() {
 		return &wire.MintTicketsResponse{Incarnation: a.ledger.Incarnation()}, nil
 	}
--- a/internal/coordination/agent/run.go
+++ b/internal/coordination/agent/run.go
@@ -132,7 +132,7 @@
 	switch {
 	case errors.Is(err, ledger.ErrExpired):
 		return refuse(CodeExpired, wire.Ran_RAN_NO, 0, err.Error())
-	case errors.Is(err, ledger.ErrOtherRequest):
+	case errors.Is(err, ledger.ErrRequestMismatch):
 		return refuse(CodeOtherRequest, wire.Ran_RAN_NO, 0, err.Error())
 	case errors.Is(err, ledger.ErrFull):
 		return refuse(CodeRecordFull, wire.Ran_RAN_NO, time.Second, err.Error())
@@ -163,7 +163,7 @@
 	defer record.Unfollow()
 	sent := 0
 	for {
-		events, done, cut, changed := record.Next(sent)
+		events, done, cut, changed := record.EventsFrom(sent)
 		for _, event := range events {
 			e := proto.Clone(event.(*wire.RunEvent)).(*wire.RunEvent)
 			if f := e.GetFinished(); f != nil {
@@ -241,7 +241,7 @@
 
 func (a *Agent) executePrompt(ctx context.Context, r *wire.RunRequest, p *wire.Prompt, send emit) {
 	before := int(a.waitingTokens.Load())
-	place := a.takePlace(contextkey.Tokens(p.GetText()))
+	place := a.takePlace(contextkey.EstimateTokens(p.GetText()))
 	defer place.leave()
 	request := a.engineRequest(r, p)
 	move, movable := a.movable(r, request, before)
@@ -325,7 +325,7 @@
 	scope := contextkey.Scope{Salt: p.GetCacheSalt(), Model: p.GetModel(), WeightVersion: version, Adapter: p.GetAdapter()}
 	return engine.Request{
 		RequestID: r.GetRequestId(), Model: p.GetModel(), WeightVersion: version, Adapter: p.GetAdapter(),
-		Text: p.GetText(), Blocks: contextkey.Chain(scope, p.GetText()), MaxTokens: int(p.GetMaxTokens()),
+		Text: p.GetText(), Blocks: contextkey.ChunkKeys(scope, p.GetText()), MaxTokens: int(p.GetMaxTokens()),
 		Seed: p.GetSeed(), Priority: int(p.GetPriority()), ResumeTokens: p.GetResumeTokens(),
 		Parameters: p.GetParameters(),
 	}
--- a/internal/coordination/contexttransfer/mover.go
+++ b/internal/coordination/contexttransfer/mover.go
@@ -110,7 +110,7 @@
 	for _, h := range hosts {
 		total += m.remoteOf(h).link.Rate(time.Now())
 	}
-	return int(total / float64(max(1, len(hosts))) / float64(chunkBytes) * contextkey.PieceTokens)
+	return int(total / float64(max(1, len(hosts))) / float64(chunkBytes) * contextkey.ChunkTokens)
 }
 
 // Prompt describes a run whose context may be imported or exported.
@@ -141,7 +141,7 @@
 		imported++
 	}
 	metrics.GetOrRegisterCounter("agent.imported_pieces", m.metrics).Inc(int64(imported))
-	return imported * contextkey.PieceTokens
+	return imported * contextkey.ChunkTokens
 }
 
 // importInput returns the input of PlanImport for a prompt: the link rate is the mean over the
--- a/internal/coordination/contexttransfer/plan.go
+++ b/internal/coordination/contexttransfer/plan.go
@@ -81,14 +81,14 @@
 // recomputed after the failed lookup.
 func (in ImportInput) cost(n int) float64 {
 	hit := float64(n) * in.StoredProbability
-	recomputed := (float64(in.Chunks-in.Resident) - hit) * contextkey.PieceTokens
+	recomputed := (float64(in.Chunks-in.Resident) - hit) * contextkey.ChunkTokens
 	bytes := hit * float64(in.ChunkBytes)
 	transfer := 0.0
 	if n > 0 {
 		transfer = (float64(in.LinkBacklog) + bytes) / in.LinkRate
 	}
 	ttft := max(transfer, in.queueTime().Seconds()) + recomputed/in.prefillRate()
-	importedTokens := hit * contextkey.PieceTokens
+	importedTokens := hit * contextkey.ChunkTokens
 	return in.Objective.WeightTTFT*ttft + in.Objective.WeightRecompute*recomputed/1000 + in.Objective.WeightLink*importedTokens/1000
 }
 
@@ -113,8 +113,8 @@
 	}
 	in := ImportInput{PrefillRate: c.PrefillRate}
 	seconds := float64(c.ChunkBytes) / c.LinkRate
-	recomputeCost := c.Objective.WeightTTFT*contextkey.PieceTokens/in.prefillRate() + c.Objective.WeightRecompute*contextkey.PieceTokens/1000
-	linkCost := c.Objective.WeightLink * contextkey.PieceTokens / 1000
+	recomputeCost := c.Objective.WeightTTFT*contextkey.ChunkTokens/in.prefillRate() + c.Objective.WeightRecompute*contextkey.ChunkTokens/1000
+	linkCost := c.Objective.WeightLink * contextkey.ChunkTokens / 1000
 	returnCost := c.Objective.WeightTTFT*seconds + linkCost
 	// No caller waits for an upload: its time has a tenth of the weight of a caller's time.
 	const uploadWeight = 0.1
--- a/internal/coordination/contexttransfer/transfer_test.go
+++ b/internal/coordination/contexttransfer/transfer_test.go
@@ -286,7 +286,7 @@
 	f.t.Helper()
 	f.runs++
 	c := f.view.Customers[customer]
-	keys := contextkey.Chain(contextkey.Scope{Salt: c.Salt, Model: modelName, WeightVersion: version}, text)
+	keys := contextkey.ChunkKeys(contextkey.Scope{Salt: c.Salt, Model: modelName, WeightVersion: version}, text)
 	status, _ := f.engine.Status(f.t.Context())
 	p := contexttransfer.Prompt{Customer: c, Service: f.view.Services["s"], Keys: keys, Status: status, RequestID: fmt.Sprint(f.runs)}
 	imported = f.mover.ImportContext(f.t.Context(), p)
@@ -314,7 +314,7 @@
 }
 
 func promptText(name string) string {
-	return strings.Repeat(name+" ", 3*contextkey.PieceBytes/(len(name)+1)+1)
+	return strings.Repeat(name+" ", 3*contextkey.ChunkBytes/(len(name)+1)+1)
 }
 
 func wantAnswer(text string) string {
@@ -373,7 +373,7 @@
 }
 
 func keysOf(customer string) []contextkey.Key {
-	return contextkey.Chain(contextkey.Scope{Salt: []byte(customer), Model: modelName, WeightVersion: version}, promptText("oak"))
+	return contextkey.ChunkKeys(contextkey.Scope{Salt: []byte(customer), Model: modelName, WeightVersion: version}, promptText("oak"))
 }
 
 func freeAll(f *fixture) {
--- a/internal/coordination/entry/prompts.go
+++ b/internal/coordination/entry/prompts.go
@@ -113,7 +113,7 @@
 		job := &runs.Job{
 			RequestID: c.id, Customer: c.customer, Service: s, Digest: digest[:], Prompt: e.wirePrompt(c.view, s, prompt),
 		}
-		return e.run(c, job, contextkey.Tokens(prompt.Text), newPromptSink(c, prompt))
+		return e.run(c, job, contextkey.EstimateTokens(prompt.Text), newPromptSink(c, prompt))
 	}
 }
 
--- a/internal/coordination/routing/directory.go
+++ b/internal/coordination/routing/directory.go
@@ -308,7 +308,7 @@
 	defer d.mu.Unlock()
 	resident := cachedTokens - importedTokens
 	d.index.ObserveHit(c.holding, resident)
-	d.index.ObserveImport(c.seen, len(c.keys)*contextkey.PieceTokens-resident, importedTokens)
+	d.index.ObserveImport(c.seen, len(c.keys)*contextkey.ChunkTokens-resident, importedTokens)
 	d.index.Add(c.keys, c.endpointHash, now)
 }
 
--- a/internal/coordination/routing/index.go
+++ b/internal/coordination/routing/index.go
@@ -56,7 +56,7 @@
 
 // Lookup appends to out where the longest prefixes of a context may be resident.
 // ends holds the number of tokens up to the end of each key's chunk; nil means that all
-// chunks have contextkey.PieceTokens.
+// chunks have contextkey.ChunkTokens.
 func (x *Index) Lookup(keys []contextkey.Key, ends []int, now time.Time, out []Holding) []Holding {
 	for i := len(keys) - 1; i >= 0; i-- {
 		for _, h := range x.holdersOf(keys[i]) {
@@ -90,7 +90,7 @@
 	case chunks == 0:
 		return 0
 	case ends == nil:
-		return chunks * contextkey.PieceTokens
+		return chunks * contextkey.ChunkTokens
 	}
 	return ends[chunks-1]
 }
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -195,7 +195,7 @@
 	keys := []contextkey.Key{{200, 200}, {201, 200}}
 	x.Add(keys, 7, epoch)
 	found := x.Lookup(keys, nil, epoch.Add(time.Minute), nil)
-	if len(found) != 1 || found[0].Endpoint != 7 || found[0].Tokens != 2*contextkey.PieceTokens {
+	if len(found) != 1 || found[0].Endpoint != 7 || found[0].Tokens != 2*contextkey.ChunkTokens {
 		t.Fatalf("%+v", found)
 	}
 	before := found[0].Chance
--- a/internal/coordination/runs/runs.go
+++ b/internal/coordination/runs/runs.go
@@ -128,7 +128,7 @@
 		return nil
 	}
 	scope := contextkey.Scope{Salt: job.Customer.Salt, Model: job.Prompt.GetModel(), Adapter: job.Prompt.GetAdapter()}
-	return contextkey.Chain(scope, job.Prompt.GetText())
+	return contextkey.ChunkKeys(scope, job.Prompt.GetText())
 }
 
 func (r *Runner) newRoutingRequest(job *Job, keys []contextkey.Key) *routing.Request {
@@ -136,7 +136,7 @@
 	tokens := 0
 	if job.Prompt != nil {
 		text = job.Prompt.GetText()
-		tokens = contextkey.Tokens(text)
+		tokens = contextkey.EstimateTokens(text)
 	}
 	return &routing.Request{
 		PlacementHash: routing.PlacementHash(keys, text), PromptTokens: tokens, Objective: job.Service.Objective,
--- a/internal/e2e/context_test.go
+++ b/internal/e2e/context_test.go
@@ -70,7 +70,7 @@
 			s := newSite(t)
 			s.platform()
 			s.contextSite()
-			prompt := strings.Repeat("a long ledger line. ", 3*contextkey.PieceBytes/20+1)
+			prompt := strings.Repeat("a long ledger line. ", 3*contextkey.ChunkBytes/20+1)
 			want := strings.Join(standin.Answer(prompt, "v1", 7, 4), "")
 			s.eventually("the context is on the store", func() bool {
 				if text, _ := s.completion(prompt); text != want {
@@ -95,7 +95,7 @@
 			if text != want {
 				t.Errorf("answer %q, want %q", text, want)
 			}
-			if wantCached := map[bool]int{false: 3 * contextkey.PieceTokens, true: 0}[torn]; cached != wantCached {
+			if wantCached := map[bool]int{false: 3 * contextkey.ChunkTokens, true: 0}[torn]; cached != wantCached {
 				t.Errorf("%d tokens imported, want %d", cached, wantCached)
 			}
 		})
--- a/internal/e2e/stream_test.go
+++ b/internal/e2e/stream_test.go
@@ -218,7 +218,7 @@
 func TestCustomersShareNoContext(t *testing.T) {
 	s := newSite(t)
 	s.streamSite(1, "-token-time", "0s", "-prefill-rate", "0")
-	prompt := strings.Repeat("a long ledger line. ", contextkey.PieceBytes/10)
+	prompt := strings.Repeat("a long ledger line. ", contextkey.ChunkBytes/10)
 	cached := func(key string) int {
 		body := strings.Replace(completionBody(prompt, 1), `"stream":true`, `"stream":false`, 1)
 		a := s.do(http.MethodPost, s.url("entry-1", "/v1/completions"), key, nil, body)
@@ -237,7 +237,7 @@
 	if n := cached(customerKey); n != 0 {
 		t.Errorf("first call found %d tokens", n)
 	}
-	if n := cached(customerKey); n != 2*contextkey.PieceTokens {
+	if n := cached(customerKey); n != 2*contextkey.ChunkTokens {
 		t.Errorf("second call found %d tokens", n)
 	}
 	if n := cached(otherKey); n != 0 {
@@ -253,7 +253,7 @@
 func TestNewRequestsMoveToNewWeights(t *testing.T) {
 	s := newSite(t)
 	s.streamSite(1, "-token-time", "0s", "-prefill-rate", "0", "-load-time", "0s")
-	prompt := strings.Repeat("a long ledger line. ", contextkey.PieceBytes/10)
+	prompt := strings.Repeat("a long ledger line. ", contextkey.ChunkBytes/10)
 	body := strings.Replace(completionBody(prompt, 1), `"stream":true`, `"stream":false`, 1)
 	call := func() answer {
 		return s.do(http.MethodPost, s.url("entry-1", "/v1/completions"), customerKey, nil, body)
--- a/internal/state/blockseal/blockseal.go
+++ b/internal/state/blockseal/blockseal.go
@@ -13,8 +13,8 @@
 	"limpetwall/internal/state/contextkey"
 )
 
-// ErrBroken tells that bytes are not the sealed block that was asked for.
-const ErrBroken = errors.ConstError("block does not verify")
+// ErrInvalidBlock tells that bytes are not the sealed block that was asked for.
+const ErrInvalidBlock = errors.ConstError("block does not verify")
 
 const (
 	magic      = 0x4c574b31 // "LWK1"
@@ -45,21 +45,21 @@
 // keeps a block of another customer from verifying even under a forged key.
 func Open(salt []byte, key contextkey.Key, sealed []byte) ([]byte, error) {
 	if len(sealed) < Overhead {
-		return nil, errors.Annotatef(ErrBroken, "%d bytes", len(sealed))
+		return nil, errors.Annotatef(ErrInvalidBlock, "%d bytes", len(sealed))
 	}
 	if binary.BigEndian.Uint32(sealed) != magic {
-		return nil, errors.Annotate(ErrBroken, "no block header")
+		return nil, errors.Annotate(ErrInvalidBlock, "no block header")
 	}
 	if !hmac.Equal(sealed[4:4+contextkey.Size], key[:]) {
-		return nil, errors.Annotate(ErrBroken, "another block's key")
+		return nil, errors.Annotate(ErrInvalidBlock, "another block's key")
 	}
 	length := int(binary.BigEndian.Uint32(sealed[4+contextkey.Size:]))
 	if length != len(sealed)-Overhead {
-		return nil, errors.Annotatef(ErrBroken, "length %d in %d bytes", length, len(sealed))
+		return nil, errors.Annotatef(ErrInvalidBlock, "length %d in %d bytes", length, len(sealed))
 	}
 	body := sealed[:headerSize+length]
 	if !hmac.Equal(mac(salt, body).Sum(nil), sealed[len(body):]) {
-		return nil, errors.Annotate(ErrBroken, "checksum differs")
+		return nil, errors.Annotate(ErrInvalidBlock, "checksum differs")
 	}
 	return body[headerSize:], nil
 }
--- a/internal/state/contextkey/contextkey.go
+++ b/internal/state/contextkey/contextkey.go
@@ -15,14 +15,14 @@
 // ErrMalformed tells that a text is no key.
 const ErrMalformed = errors.ConstError("context key must be 32 hexadecimal digits")
 
-// PieceTokens is the size of one piece of context, in tokens.
-const PieceTokens = 2000
+// ChunkTokens is the size of one piece of context, in tokens.
+const ChunkTokens = 2000
 
 // BytesPerToken estimates text size; entries do not run the models' tokenizers.
 const BytesPerToken = 4
 
-// PieceBytes is the text length of one piece.
-const PieceBytes = PieceTokens * BytesPerToken
+// ChunkBytes is the text length of one piece.
+const ChunkBytes = ChunkTokens * BytesPerToken
 
 // Size is the length of a key in bytes.
 const Size = 16
@@ -52,10 +52,10 @@
 	Adapter       string
 }
 
-// Chain returns the keys of the whole pieces of text, first to last. The rest of
+// ChunkKeys returns the keys of the whole pieces of text, first to last. The rest of
 // the text that fills no piece has no key and is always computed.
-func Chain(scope Scope, text string) []Key {
-	pieces := len(text) / PieceBytes
+func ChunkKeys(scope Scope, text string) []Key {
+	pieces := len(text) / ChunkBytes
 	if pieces == 0 {
 		return nil
 	}
@@ -65,7 +65,7 @@
 	for i := range pieces {
 		mac.Reset()
 		mac.Write(parent[:])
-		mac.Write([]byte(text[i*PieceBytes : (i+1)*PieceBytes]))
+		mac.Write([]byte(text[i*ChunkBytes : (i+1)*ChunkBytes]))
 		parent = sum(mac)
 		keys = append(keys, parent)
 	}
@@ -90,8 +90,8 @@
 	return k
 }
 
-// Tokens estimates the number of tokens of a text.
-func Tokens(text string) int {
+// EstimateTokens estimates the number of tokens of a text.
+func EstimateTokens(text string) int {
 	return (len(text) + BytesPerToken - 1) / BytesPerToken
 }
 
--- a/internal/state/contextkey/contextkey_test.go
+++ b/internal/state/contextkey/contextkey_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestKeysBindTheirScope(t *testing.T) {
-	text := strings.Repeat("x", 2*contextkey.PieceBytes+1)
+	text := strings.Repeat("x", 2*contextkey.ChunkBytes+1)
 	base := contextkey.Scope{Salt: []byte("a"), Model: "m", WeightVersion: "v1", Adapter: "l"}
-	first := contextkey.Chain(base, text)
+	first := contextkey.ChunkKeys(base, text)
 	if len(first) != 2 || first[0] == first[1] {
 		t.Fatalf("%d keys", len(first))
 	}
@@ -22,17 +22,17 @@
 		"shifted":  {Salt: []byte("a"), Model: "mv", WeightVersion: "1", Adapter: "l"},
 	}
 	for name, scope := range others {
-		for i, key := range contextkey.Chain(scope, text) {
+		for i, key := range contextkey.ChunkKeys(scope, text) {
 			if key == first[i] {
 				t.Errorf("another %s has the same key %d", name, i)
 			}
 		}
 	}
-	changed := contextkey.Chain(base, "y"+text[1:])
+	changed := contextkey.ChunkKeys(base, "y"+text[1:])
 	if changed[1] == first[1] {
 		t.Error("a key does not depend on what precedes its piece")
 	}
-	longer := contextkey.Chain(base, text+strings.Repeat("z", contextkey.PieceBytes))
+	longer := contextkey.ChunkKeys(base, text+strings.Repeat("z", contextkey.ChunkBytes))
 	if longer[1] != first[1] {
 		t.Error("a key depends on what follows its piece")
 	}
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -20,8 +20,8 @@
 	ErrUnknownTicket = errors.ConstError("no record of this ticket")
 	// ErrExpired: the ticket was not used in time; it did not run and never will.
 	ErrExpired = errors.ConstError("ticket expired unused")
-	// ErrOtherRequest: the ticket was used for another request; this one did not run.
-	ErrOtherRequest = errors.ConstError("ticket was used for another request")
+	// ErrRequestMismatch: the ticket was used for another request; this one did not run.
+	ErrRequestMismatch = errors.ConstError("ticket was used for another request")
 	// ErrFull: the bounds on what is kept leave no room; it did not run.
 	ErrFull = errors.ConstError("record of requests is full")
 )
@@ -30,21 +30,21 @@
 type Config struct {
 	// TicketTTL is how long an unused ticket may start a run.
 	TicketTTL time.Duration
-	// KeepFor is how long a record outlives its ticket's validity.
-	KeepFor time.Duration
+	// Retention is how long a record outlives its ticket's validity.
+	Retention time.Duration
 	// MaxTickets bounds the tickets minted and not yet void.
 	MaxTickets int
 	// MaxBytes bounds all answers kept; AnswerBytes is reserved for each run and
 	// bounds the part of an answer that is kept for replay.
-	MaxBytes    int64
-	AnswerBytes int64
+	MaxBytes       int64
+	MaxAnswerBytes int64
 }
 
 // DefaultConfig is what agents use.
 func DefaultConfig() Config {
 	return Config{
-		TicketTTL: 10 * time.Minute, KeepFor: time.Hour, MaxTickets: 1 << 18,
-		MaxBytes: 96 << 20, AnswerBytes: 256 << 10,
+		TicketTTL: 10 * time.Minute, Retention: time.Hour, MaxTickets: 1 << 18,
+		MaxBytes: 96 << 20, MaxAnswerBytes: 256 << 10,
 	}
 }
 
@@ -76,8 +76,8 @@
 // TicketTTL is how long an unused ticket may start a run.
 func (l *Ledger) TicketTTL() time.Duration { return l.cfg.TicketTTL }
 
-// Mint hands out count tickets with consecutive sequences, or ErrFull.
-func (l *Ledger) Mint(count int, now time.Time) (first uint64, err error) {
+// Issue hands out count tickets with consecutive sequences, or ErrFull.
+func (l *Ledger) Issue(count int, now time.Time) (first uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(now)
@@ -100,7 +100,7 @@
 func (l *Ledger) expire(now time.Time) {
 	for len(l.batches) > 0 {
 		b := l.batches[0]
-		if now.Sub(b.minted) <= l.cfg.TicketTTL+l.cfg.KeepFor {
+		if now.Sub(b.minted) <= l.cfg.TicketTTL+l.cfg.Retention {
 			return
 		}
 		for seq := b.first; seq < b.first+b.count; seq++ {
@@ -134,7 +134,7 @@
 	l.expire(now)
 	if r, ok := l.records[sequence]; ok {
 		if r.customer != customer || subtle.ConstantTimeCompare(r.digest, digest) != 1 {
-			return nil, false, ErrOtherRequest
+			return nil, false, ErrRequestMismatch
 		}
 		return r, false, nil
 	}
@@ -144,22 +144,22 @@
 		return nil, false, ErrUnknownTicket
 	case now.Sub(b.minted) > l.cfg.TicketTTL:
 		return nil, false, ErrExpired
-	case l.used+l.cfg.AnswerBytes > l.cfg.MaxBytes:
+	case l.used+l.cfg.MaxAnswerBytes > l.cfg.MaxBytes:
 		// Refusing new work is the only safe answer: dropping an older record
 		// would turn its next retry into a second run.
 		return nil, false, ErrFull
 	}
-	l.used += l.cfg.AnswerBytes
+	l.used += l.cfg.MaxAnswerBytes
 	r = &Record{
 		ledger: l, sequence: sequence, customer: customer, digest: digest,
-		reserved: l.cfg.AnswerBytes, changed: make(chan struct{}),
+		reserved: l.cfg.MaxAnswerBytes, changed: make(chan struct{}),
 	}
 	l.records[sequence] = r
 	return r, true, nil
 }
 
-// Used is the number of bytes reserved or kept.
-func (l *Ledger) Used() int64 {
+// UsedBytes is the number of bytes reserved or kept.
+func (l *Ledger) UsedBytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.used
@@ -202,7 +202,7 @@
 // trim drops an answer that is too large to keep once nobody is reading it: the
 // first caller still gets it whole, a later retry learns that it ran.
 func (r *Record) trim() {
-	if r.followers > 0 || r.bytes <= r.ledger.cfg.AnswerBytes {
+	if r.followers > 0 || r.bytes <= r.ledger.cfg.MaxAnswerBytes {
 		return
 	}
 	r.events, r.bytes, r.cut = nil, 0, true
@@ -253,9 +253,9 @@
 	r.changed = make(chan struct{})
 }
 
-// Next returns the events after the first n, whether the run has ended, whether
+// EventsFrom returns the events after the first n, whether the run has ended, whether
 // the answer was not kept, and a channel closed at the next change.
-func (r *Record) Next(n int) (events []any, done, cut bool, changed <-chan struct{}) {
+func (r *Record) EventsFrom(n int) (events []any, done, cut bool, changed <-chan struct{}) {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
 	return r.events[min(n, len(r.events)):], r.done, r.cut, r.changed
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -14,7 +14,7 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func small() ledger.Config {
-	return ledger.Config{TicketTTL: time.Minute, KeepFor: time.Hour, MaxTickets: 8, MaxBytes: 40, AnswerBytes: 10}
+	return ledger.Config{TicketTTL: time.Minute, Retention: time.Hour, MaxTickets: 8, MaxBytes: 40, MaxAnswerBytes: 10}
 }
 
 func begin(l *ledger.Ledger, seq uint64, customer, digest string, now time.Time) (*ledger.Record, bool, error) {
@@ -50,12 +50,12 @@
 			begin(l, first, "c", "d", epoch)
 			_, _, err := begin(l, first, "other", "d", epoch)
 			return err
-		}, ledger.ErrOtherRequest},
+		}, ledger.ErrRequestMismatch},
 		{"another request", func(l *ledger.Ledger, first uint64) error {
 			begin(l, first, "c", "d", epoch)
 			_, _, err := begin(l, first, "c", "e", epoch)
 			return err
-		}, ledger.ErrOtherRequest},
+		}, ledger.ErrRequestMismatch},
 		{"no room for its answer", func(l *ledger.Ledger, first uint64) error {
 			for i := range uint64(4) {
 				begin(l, first+i, "c", "d", epoch)
@@ -66,7 +66,7 @@
 	}
 	for _, row := range rows {
 		l := ledger.New(small(), 7)
-		first, err := l.Mint(5, epoch)
+		first, err := l.Issue(5, epoch)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -78,14 +78,14 @@
 
 func TestMintIsBounded(t *testing.T) {
 	l := ledger.New(small(), 7)
-	if _, err := l.Mint(9, epoch); !errors.Is(err, ledger.ErrFull) {
+	if _, err := l.Issue(9, epoch); !errors.Is(err, ledger.ErrFull) {
 		t.Errorf("beyond the bound: %v", err)
 	}
-	l.Mint(8, epoch)
-	if _, err := l.Mint(1, epoch); !errors.Is(err, ledger.ErrFull) {
+	l.Issue(8, epoch)
+	if _, err := l.Issue(1, epoch); !errors.Is(err, ledger.ErrFull) {
 		t.Errorf("at the bound: %v", err)
 	}
-	if _, err := l.Mint(1, epoch.Add(2*time.Hour)); err != nil {
+	if _, err := l.Issue(1, epoch.Add(2*time.Hour)); err != nil {
 		t.Errorf("after the old ones are void: %v", err)
 	}
 }
@@ -96,14 +96,14 @@
 // that learns that the request ran, without the answer; it does not run again.
 func TestLargeAnswerReachesItsCaller(t *testing.T) {
 	l := ledger.New(small(), 7)
-	first, _ := l.Mint(1, epoch)
+	first, _ := l.Issue(1, epoch)
 	r, _, _ := begin(l, first, "c", "d", epoch)
 	r.Follow()
 	for i := range 5 {
 		r.Append(i, 4)
 	}
 	r.Finish()
-	if events, done, cut, _ := r.Next(0); len(events) != 5 || !done || cut {
+	if events, done, cut, _ := r.EventsFrom(0); len(events) != 5 || !done || cut {
 		t.Errorf("caller: %d events, done %v, cut %v", len(events), done, cut)
 	}
 	r.Unfollow()
@@ -111,11 +111,11 @@
 	if err != nil || started {
 		t.Fatalf("retry: started %v, %v", started, err)
 	}
-	if events, done, cut, _ := again.Next(0); len(events) != 0 || !done || !cut {
+	if events, done, cut, _ := again.EventsFrom(0); len(events) != 0 || !done || !cut {
 		t.Errorf("retry: %d events, done %v, cut %v", len(events), done, cut)
 	}
-	if l.Used() != 0 {
-		t.Errorf("%d bytes still counted", l.Used())
+	if l.UsedBytes() != 0 {
+		t.Errorf("%d bytes still counted", l.UsedBytes())
 	}
 }
 
@@ -142,7 +142,7 @@
 				if _, ok := tickets[r]; ok {
 					return
 				}
-				if first, err := l.Mint(1, now); err == nil {
+				if first, err := l.Issue(1, now); err == nil {
 					tickets[r] = bound{incarnation, first}
 				}
 			},
@@ -157,7 +157,7 @@
 				case started:
 					executed[r]++
 					running[r] = record
-				case errors.Is(err, ledger.ErrExpired), errors.Is(err, ledger.ErrFull), errors.Is(err, ledger.ErrOtherRequest):
+				case errors.Is(err, ledger.ErrExpired), errors.Is(err, ledger.ErrFull), errors.Is(err, ledger.ErrRequestMismatch):
 					if executed[r] > 0 {
 						t.Fatalf("%q ran and the answer says it did not: %v", r, err)
 					}
@@ -194,8 +194,8 @@
 						t.Fatalf("%q was executed %d times", r, n)
 					}
 				}
-				if l.Used() < 0 {
-					t.Fatalf("%d bytes used", l.Used())
+				if l.UsedBytes() < 0 {
+					t.Fatalf("%d bytes used", l.UsedBytes())
 				}
 			},
 		})
@@ -204,7 +204,7 @@
 
 func ExampleLedger() {
 	l := ledger.New(ledger.DefaultConfig(), 7)
-	first, _ := l.Mint(1, epoch)
+	first, _ := l.Issue(1, epoch)
 	record, started, _ := l.Begin(7, first, "donor", []byte("digest"), epoch)
 	fmt.Println(started)
 	record.Finish()
--- a/internal/transport/engine/enginetest/contract.go
+++ b/internal/transport/engine/enginetest/contract.go
@@ -43,7 +43,7 @@
 	scope := contextkey.Scope{Salt: []byte("salt"), Model: o.Model, WeightVersion: o.WeightVersion}
 	return engine.Request{
 		RequestID: id, Model: o.Model, WeightVersion: o.WeightVersion, Text: text,
-		Blocks: contextkey.Chain(scope, text), MaxTokens: 6, Seed: 3,
+		Blocks: contextkey.ChunkKeys(scope, text), MaxTokens: 6, Seed: 3,
 	}
 }
 
@@ -95,12 +95,12 @@
 	}
 }
 
-func longText() string { return strings.Repeat("x", 2*contextkey.PieceBytes+10) }
+func longText() string { return strings.Repeat("x", 2*contextkey.ChunkBytes+10) }
 
 func resident(t *testing.T, o Options, e engine.Engine) {
 	first, _ := run(t, e, request(o, "a", longText()))
 	second, _ := run(t, e, request(o, "b", longText()))
-	if first.CachedTokens != 0 || second.CachedTokens != 2*contextkey.PieceTokens {
+	if first.CachedTokens != 0 || second.CachedTokens != 2*contextkey.ChunkTokens {
 		t.Errorf("cached %d, then %d", first.CachedTokens, second.CachedTokens)
 	}
 	events, err := e.Events(t.Context(), 0)
--- a/internal/transport/engine/standin/http.go
+++ b/internal/transport/engine/standin/http.go
@@ -46,7 +46,7 @@
 
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
 	var req engine.Request
-	if err := httpjson.Read(r, maxPrompt, &req); err != nil || len(req.Blocks)*contextkey.PieceBytes > len(req.Text) {
+	if err := httpjson.Read(r, maxPrompt, &req); err != nil || len(req.Blocks)*contextkey.ChunkBytes > len(req.Text) {
 		http.Error(w, "malformed request", http.StatusBadRequest)
 		return
 	}
--- a/internal/transport/engine/standin/standin.go
+++ b/internal/transport/engine/standin/standin.go
@@ -113,7 +113,7 @@
 	}
 	e.runs[r.RequestID]++
 	e.status.Queued++
-	e.status.QueuedTokens += contextkey.Tokens(r.Text)
+	e.status.QueuedTokens += contextkey.EstimateTokens(r.Text)
 	ctx, cancel := context.WithCancel(ctx)
 	s := &run{ctx: ctx, cancel: cancel, events: make(chan engine.Event)}
 	go e.run(s, r, e.status.WeightVersion)
@@ -144,7 +144,7 @@
 func (e *Engine) run(s *run, r engine.Request, version string) {
 	defer close(s.events)
 	defer s.cancel()
-	tokens := contextkey.Tokens(r.Text)
+	tokens := contextkey.EstimateTokens(r.Text)
 	select {
 	case e.slots <- struct{}{}:
 	case <-s.ctx.Done():
@@ -156,14 +156,14 @@
 	defer e.leaveRunning()
 
 	cached, seed := e.useBlocks(r)
-	computed := max(0, tokens-cached*contextkey.PieceTokens)
+	computed := max(0, tokens-cached*contextkey.ChunkTokens)
 	if !e.spendPrefill(s.ctx, computed) {
 		e.countCanceled()
 		return
 	}
 	e.storeBlocks(r, cached)
 	if !s.send(engine.Event{Started: &engine.Started{
-		WeightVersion: version, CachedTokens: cached * contextkey.PieceTokens, PromptTokens: tokens,
+		WeightVersion: version, CachedTokens: cached * contextkey.ChunkTokens, PromptTokens: tokens,
 	}}) {
 		e.countCanceled()
 		return
@@ -254,13 +254,13 @@
 		}
 		h.Write(BlockContent(piece(r.Text, i)))
 	}
-	h.Write([]byte(r.Text[len(r.Blocks)*contextkey.PieceBytes:]))
+	h.Write([]byte(r.Text[len(r.Blocks)*contextkey.ChunkBytes:]))
 	h.Sum(seed[:0])
 	return cached, seed
 }
 
 func piece(text string, i int) string {
-	return text[i*contextkey.PieceBytes : (i+1)*contextkey.PieceBytes]
+	return text[i*contextkey.ChunkBytes : (i+1)*contextkey.ChunkBytes]
 }
 
 // BlockContent is the content a correct engine computes for a piece of text.
@@ -272,11 +272,11 @@
 // Answer is the answer a correct engine gives to a prompt.
 func Answer(text, version string, seed int64, maxTokens int) []string {
 	h := sha256.New()
-	pieces := len(text) / contextkey.PieceBytes
+	pieces := len(text) / contextkey.ChunkBytes
 	for i := range pieces {
 		h.Write(BlockContent(piece(text, i)))
 	}
-	h.Write([]byte(text[pieces*contextkey.PieceBytes:]))
+	h.Write([]byte(text[pieces*contextkey.ChunkBytes:]))
 	var sum [sha256.Size]byte
 	h.Sum(sum[:0])
 	tokens := make([]string, maxTokens)
