--- a/internal/coordination/discovery/addressconflict.go
+++ b/internal/coordination/discovery/addressconflict.go
@@ -6,22 +6,24 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// addressConflicts tells apart the instances that are listed with one address: the endpoint that has
-// it now, and entries of those before it. A crashed one's entry stays for seconds, longer if
-// the store is away; and one that was on its way when the endpoint was cut off comes after
-// the new one's, with a higher revision. Used in place of the new one, it would keep a sound
-// endpoint idle until its entry next changes, which may be never, and without new weights.
+// addressConflicts decides which of several instances listed with one address has it now; the
+// others are entries of earlier instances. The entry of a crashed instance remains for seconds,
+// longer if the store is unreachable. An entry whose write was in flight when its endpoint was cut
+// off is stored after the new instance's entry, with a higher revision. If it replaced the
+// new one, a healthy endpoint would stay idle until its entry next changes, which may
+// never happen if no new weights are loaded.
 type addressConflicts struct {
-	// firstSeen is the revision at which each id was firstSeen listed.
+	// firstSeen is the revision at which each id was first listed.
 	firstSeen map[string]uint64
-	// waiting are entries whose address another instance is believed to have.
+	// waiting holds, by id, the entries whose address is assigned to another instance.
 	waiting map[string]Instance
 }
 
-// maxFirstSeen bounds the ids remembered: a day's restarts of a thousand endpoints.
+// maxFirstSeen bounds the number of remembered ids: a day of restarts of a thousand
+// endpoints.
 const maxFirstSeen = 16_384
 
-// observe notes an entry of an instance.
+// observe records the revision at which an instance is first listed.
 func (c *addressConflicts) observe(i Instance) {
 	if _, seen := c.firstSeen[i.ID]; seen {
 		return
@@ -32,9 +34,9 @@
 	c.firstSeen[i.ID] = i.Revision
 }
 
-// isLater tells whether a began after b, both at one address. A life begins after the one
-// before it has ended, so it is also listed first after that was; where they tell their
-// starts, these decide.
+// isLater reports whether a started after b, where both have the same address. An instance
+// starts after the previous one at its address has ended, so it is also listed first after
+// the previous one was. If both have a start time, the start times decide.
 func (c *addressConflicts) isLater(a, b Instance) bool {
 	if a.Born != 0 && b.Born != 0 && a.Born != b.Born {
 		return a.Born > b.Born
@@ -42,7 +44,7 @@
 	return c.firstSeen[a.ID] > c.firstSeen[b.ID]
 }
 
-// latestWaiting finds the latest entry that waits for an address.
+// latestWaiting returns the instance that started last among those waiting for an address.
 func (c *addressConflicts) latestWaiting(address string) (Instance, bool) {
 	var best Instance
 	for _, i := range c.waiting {
@@ -53,9 +55,9 @@
 	return best, best.ID != ""
 }
 
-// claimAddress decides which instance has a new one's address; false tells that another has
-// it, and the new one waits. An entry that lapsed before does not wait: its endpoint is
-// gone. s.mu is held.
+// claimAddress decides whether a new instance gets its address. It returns false if another
+// instance keeps it; the new one then waits. An instance that loses its address waits too,
+// unless its entry has already expired: then its endpoint is gone. s.mu is held.
 func (s *State) claimAddress(i Instance) bool {
 	s.conflicts.observe(i)
 	delete(s.conflicts.waiting, i.ID)
@@ -76,7 +78,8 @@
 	return true
 }
 
-// removeInstance takes an instance out of use; one that waited for its address is used then.
+// removeInstance takes an instance out of use. If another instance waits for its address,
+// that one is used from then on.
 func (s *State) removeInstance(k *knownInstance) {
 	s.markDead(k)
 	if next, ok := s.conflicts.latestWaiting(k.Address); ok {
@@ -84,15 +87,15 @@
 	}
 }
 
-// markDead takes an instance out of use.
+// markDead deletes an instance and marks its row as dead.
 func (s *State) markDead(k *knownInstance) {
 	delete(s.instances, k.ID)
 	s.writeRow(k, fleet.Dead)
 }
 
-// MarkMisdirected records that another instance answers at an instance's address. An entry
-// that waits for it is used from now on: a process that starts when both are listed can't
-// tell by their revisions which came first.
+// MarkMisdirected records that another instance answers at the address of the instance id.
+// An instance that waits for the address is used from then on: a process that starts when
+// both are listed can't determine from their revisions which came first.
 func (s *State) MarkMisdirected(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +107,7 @@
 	if !ok {
 		return
 	}
-	s.Log.Info("endpoint is not at its address", zap.String("endpoint", id), zap.String("other", next.ID), zap.String("address", k.Address))
+	s.Log.Info("another endpoint answers at the address", zap.String("endpoint", id), zap.String("other", next.ID), zap.String("address", k.Address))
 	s.conflicts.firstSeen[id] = 0
 	s.conflicts.waiting[id] = k.Instance
 	s.markDead(k)
--- a/internal/coordination/discovery/doc.go
+++ b/internal/coordination/discovery/doc.go
@@ -1,5 +1,5 @@
-// Package discovery keeps what one process believes of the platform: the routing
-// table in force, the instances of all endpoints, and the weights that operators
-// have named. It lists and watches the platform's store, and goes on with what it
-// knew while the store is away.
+// Package discovery holds one process's view of the platform: the routing table in
+// force, the instances of all endpoints, and the weights that operators asked for. It
+// lists and watches the platform's store, and continues with its last known state while
+// the store is unreachable.
 package discovery
--- a/internal/coordination/discovery/expiry_test.go
+++ b/internal/coordination/discovery/expiry_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// TestExpiredEntriesAfterStoreOutage lets the store be away; meanwhile the entries of two endpoints
-// lapse. One endpoint lives and is listed again a second after the return.
+// TestExpiredEntriesAfterStoreOutage makes the store unavailable while the entries of two
+// endpoints expire. One endpoint still runs and is listed again a second after the outage.
 //
-// Both are used until then: their work would otherwise fall to nobody. The one that
-// stays missing is gone about two seconds after the return.
+// Both must stay in use until then, because otherwise nobody would do their work. The one
+// that stays missing must be dropped about two seconds after the outage.
 func TestExpiredEntriesAfterStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
@@ -26,25 +26,27 @@
 		feed.update(func() { feed.refuse = false })
 		time.Sleep(time.Second)
 		if countAlive(state) != 2 {
-			t.Errorf("1 s after the return: %d used", countAlive(state))
+			t.Errorf("got %d endpoints in use 1 s after the outage, want 2", countAlive(state))
 		}
 		feed.put("servers", "i-1", false)
 		time.Sleep(2500 * time.Millisecond)
 		if countAlive(state) != 1 {
-			t.Errorf("3.5 s after the return: %d used", countAlive(state))
+			t.Errorf("got %d endpoints in use 3.5 s after the outage, want 1", countAlive(state))
 		}
 		if _, ok := state.Instance("i-2"); ok {
-			t.Error("the missing one is still known")
+			t.Error("the endpoint whose entry stays missing is still known")
 		}
 	})
 }
 
-// TestExpiryIgnoresRecoveryOfOtherKinds lets an endpoint leave for good while the store is away, and
-// the store answer another kind two seconds later than it answers for endpoints.
+// TestExpiryIgnoresRecoveryOfOtherKinds removes an endpoint for good while the store is
+// unavailable. The store then answers another kind two seconds later than it answers for
+// endpoints.
 //
-// Whether an entry comes back is told by the answers for endpoints alone. Counted anew from each kind's return, the
-// time in which the endpoint is still used grew by those two seconds: callers' requests reached it
-// 4.5 s after it had said that it leaves, of the 3 s that it goes on serving.
+// Only the answers for endpoints show whether an entry comes back. When the time in which the
+// endpoint stays in use started again at the recovery of each kind, it grew by those two seconds:
+// callers' requests reached the endpoint 4.5 s after it had announced that it leaves, but it
+// continues to serve for only 3 s.
 func TestExpiryIgnoresRecoveryOfOtherKinds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
@@ -58,23 +60,25 @@
 		feed.update(func() { feed.refuse, feed.refusedKind = false, kinds.Weights })
 		time.Sleep(time.Second)
 		if countAlive(state) != 1 {
-			t.Error("not used 1 s after the return, in which it may come back")
+			t.Error("endpoint not in use 1 s after the store recovered, while its entry may still come back")
 		}
 		time.Sleep(time.Second)
 		feed.update(func() { feed.refusedKind = "" })
-		// The kind's own return came within a second of the store's; a look each 0.1 s.
+		// The other kind is answered again within a second of the store's recovery; the expiry
+		// loop checks every 0.1 s.
 		time.Sleep(1100 * time.Millisecond)
 		if countAlive(state) != 0 {
-			t.Error("still used 2.1 s after the store could be heard of endpoints again")
+			t.Error("endpoint still in use 2.1 s after the store answered for endpoints again")
 		}
 	})
 }
 
-// TestEndpointRemovedAfterPartition cuts a process off from the store for some seconds, in all phases of its retries, and takes an
-// endpoint's entry away just after the cut has healed.
+// TestEndpointRemovedAfterPartition cuts a process off from the store for some seconds, in all
+// phases of its retries, and removes an endpoint's entry just after the partition heals.
 //
-// For all others the endpoint was gone at once, and it serves for two seconds more. Who was cut off must
-// not send to it later than it may act on old knowledge, three seconds after the cut.
+// All other processes drop the endpoint at once, and it serves for two more seconds. The
+// process that was cut off must not send requests to it for longer than it may act on old
+// knowledge, which is three seconds after the partition.
 func TestEndpointRemovedAfterPartition(t *testing.T) {
 	const stableWindow = 3 * time.Second
 	for phase := time.Duration(0); phase < 2*time.Second; phase += 50 * time.Millisecond {
@@ -91,14 +95,14 @@
 			feed.remove("servers", "i-1")
 			time.Sleep(stableWindow - 100*time.Millisecond)
 			if countAlive(state) != 0 {
-				t.Errorf("phase %s: still used", phase)
+				t.Errorf("phase %s: removed endpoint is still in use", phase)
 			}
 		})
 	}
 }
 
-// TestExpiryWhileOtherKindFails lets the store refuse a kind other than endpoints, and an endpoint's entry
-// lapse and come back: it stays in use.
+// TestExpiryWhileOtherKindFails lets the store refuse calls for a kind other than endpoints
+// while the entries of two endpoints expire. The one whose entry comes back must stay in use.
 func TestExpiryWhileOtherKindFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
@@ -113,17 +117,17 @@
 		feed.remove("servers", "i-2")
 		time.Sleep(1800 * time.Millisecond)
 		if countAlive(state) != 2 {
-			t.Errorf("%d used 1.8 s after the entries lapsed, want 2", countAlive(state))
+			t.Errorf("got %d endpoints in use 1.8 s after the entries expired, want 2", countAlive(state))
 		}
 		feed.put("servers", "i-1", false)
 		time.Sleep(time.Second)
 		if countAlive(state) != 1 {
-			t.Errorf("%d used 2.8 s after the entries lapsed, want the one that is back", countAlive(state))
+			t.Errorf("got %d endpoints in use 2.8 s after the entries expired, want 1, the one that came back", countAlive(state))
 		}
 	})
 }
 
-// TestRemovedEntryIsDroppedImmediately removes an entry while the store is well.
+// TestRemovedEntryIsDroppedImmediately removes an entry while the store answers all calls.
 func TestRemovedEntryIsDroppedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
@@ -133,7 +137,7 @@
 		feed.remove("servers", "i-1")
 		time.Sleep(10 * time.Millisecond)
 		if countAlive(state) != 0 {
-			t.Error("still used")
+			t.Error("removed endpoint is still in use")
 		}
 	})
 }
--- a/internal/coordination/discovery/feed_test.go
+++ b/internal/coordination/discovery/feed_test.go
@@ -15,7 +15,7 @@
 	"limpetwall/internal/transport/objectapi"
 )
 
-// fakeFeed is a store in memory that may be silent, refuse or forget.
+// fakeFeed is an in-memory store that can be silent, refuse calls or lose its history.
 type fakeFeed struct {
 	mu       sync.Mutex
 	revision uint64
@@ -26,10 +26,10 @@
 	}
 	oldest  uint64
 	changed chan struct{}
-	// silent calls get no answer, not even when the store is back, as on a connection
+	// silent calls get no answer, not even once the store answers again, as on a connection
 	// that died without a reset; refuse answers with an error at once.
 	silent, refuse bool
-	// refusedKind is refused alone.
+	// refusedKind is a single kind whose calls are refused.
 	refusedKind string
 	calls       int
 }
@@ -161,12 +161,12 @@
 	return n, json.Unmarshal(r.Spec, &n.Version)
 }
 
-// startWatcher runs a watcher over a feed for the length of a test.
+// startWatcher runs a watcher on a feed until the test ends.
 func startWatcher(t *testing.T, feed *fakeFeed) (*State, *Watcher) {
 	return startWatcherWith(t, feed, func(*Watcher) {})
 }
 
-// startWatcherWith does so with a watcher that is changed before it runs.
+// startWatcherWith is startWatcher with a watcher that configure changes before it runs.
 func startWatcherWith(t *testing.T, feed *fakeFeed, configure func(*Watcher)) (*State, *Watcher) {
 	state := NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 	w := &Watcher{Feed: feed, Decoder: fakeDecoder{}, Kinds: kinds, State: state, Log: zap.NewNop(), Wait: 2 * time.Second}
@@ -184,6 +184,7 @@
 	return state, w
 }
 
+// countAlive returns the number of endpoints in use.
 func countAlive(s *State) int {
 	n := 0
 	for _, m := range s.Table.Members() {
--- a/internal/coordination/discovery/restart_test.go
+++ b/internal/coordination/discovery/restart_test.go
@@ -16,17 +16,17 @@
 	return NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 }
 
-// engineInstance is an entry of the endpoint "i".
+// engineInstance returns an entry of the endpoint "i".
 func engineInstance(born int64, revision uint64, weights, orders int64) Instance {
 	return Instance{ID: "i", Born: born, Revision: revision, Service: "s", Address: "10.0.0.1:1", Model: "m", Weights: weights, Orders: orders}
 }
 
-// TestRestartUnderSameID lets an endpoint start again under its id, with word of both starts
-// arriving in different orders.
+// TestRestartUnderSameID restarts an endpoint under its id, with entries and reports of both
+// starts arriving in different orders.
 //
-// What is believed must be the later start's, wherever it was told first: an order that
-// expects the number of orders of the earlier one is void, and callers' requests counted
-// there have ended.
+// The state must be that of the later start, whichever way it was learned first: a load order
+// that expects the order count of the earlier start is invalid, and the requests that callers
+// had in flight at the earlier start have ended.
 func TestRestartUnderSameID(t *testing.T) {
 	rows := []struct {
 		name         string
@@ -53,9 +53,9 @@
 			s.SetInstance(engineInstance(200, 6, 1, 0))
 			s.ObserveStart("i", 100, 3)
 		}, 200, 1, 0, false, true},
-		{"word from its address", func(s *State) { s.ObserveStartByAddress("10.0.0.1:1", 200) }, 200, 2, 0, false, true},
-		{"word from another address", func(s *State) { s.ObserveStartByAddress("10.0.0.2:1", 200) }, 100, 2, 4, true, false},
-		{"an entry that tells no start", func(s *State) { s.SetInstance(engineInstance(0, 6, 2, 5)) }, 100, 2, 5, true, false},
+		{"a report from its address", func(s *State) { s.ObserveStartByAddress("10.0.0.1:1", 200) }, 200, 2, 0, false, true},
+		{"a report from another address", func(s *State) { s.ObserveStartByAddress("10.0.0.2:1", 200) }, 100, 2, 4, true, false},
+		{"an entry without a start", func(s *State) { s.SetInstance(engineInstance(0, 6, 2, 5)) }, 100, 2, 5, true, false},
 	}
 	for _, row := range rows {
 		s := newState()
@@ -65,20 +65,20 @@
 		row.observe(s)
 		i, ok := s.Instance("i")
 		if !ok || i.Born != row.born || i.Weights != row.weights || i.Orders != row.orders || s.IsLoading("i") != row.loading {
-			t.Errorf("%s: %+v, loading %v", row.name, i, s.IsLoading("i"))
+			t.Errorf("%s: got instance %+v, loading %v", row.name, i, s.IsLoading("i"))
 		}
 		after, _ := s.Table.Get("i")
 		if (after.Incarnation != before.Incarnation) != row.new || after.State != fleet.Alive {
-			t.Errorf("%s: member %+v before, %+v after", row.name, before, after)
+			t.Errorf("%s: got member %+v before, %+v after", row.name, before, after)
 		}
 	}
 }
 
-// TestStartsObservedInAnyOrder tells of some starts of an endpoint by entries and reports in
-// any order.
+// TestStartsObservedInAnyOrder observes several starts of an endpoint through entries and
+// reports in any order.
 //
-// The start believed never goes back, and is the latest told of; the count of orders is
-// never an earlier start's.
+// The known start never goes back and is the latest one observed; the order count is never
+// that of an earlier start.
 func TestStartsObservedInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newState()
@@ -88,7 +88,7 @@
 			born := rapid.Int64Range(1, 5).Draw(t, "born")
 			if rapid.Bool().Draw(t, "entry") {
 				revision++
-				// Orders of a start are told apart by a multiple of its number.
+				// The order count identifies its start: it is a multiple of the start time.
 				s.SetInstance(engineInstance(born, revision, 1, born*100))
 			} else {
 				s.ObserveStart("i", born, 1)
@@ -96,20 +96,20 @@
 			latest = max(latest, born)
 			i, ok := s.Instance("i")
 			if !ok || i.Born != latest {
-				t.Fatalf("start %d is believed, %d was told", i.Born, latest)
+				t.Fatalf("got start %d, want the latest observed start %d", i.Born, latest)
 			}
 			if i.Orders > 1 && i.Orders != latest*100 {
-				t.Fatalf("orders %d belong to another start than %d", i.Orders, latest)
+				t.Fatalf("order count %d does not belong to start %d", i.Orders, latest)
 			}
 		}
 	})
 }
 
-// TestEntriesOfOtherWriters overwrites an endpoint's entry by something else and adds one
-// of a service that nobody knows.
+// TestEntriesOfOtherWriters overwrites an endpoint's entry with something else, and adds an
+// entry of a service that is not in the configuration.
 //
-// Neither names an endpoint to use; the others are used on, and the endpoint itself is
-// back with its own next entry.
+// Neither entry describes an endpoint to use. The other endpoints stay in use, and the
+// overwritten one comes back with its own next entry.
 func TestEntriesOfOtherWriters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
@@ -121,17 +121,17 @@
 		feed.put("servers", "i-1", "no entry")
 		time.Sleep(time.Second)
 		if n := countAlive(state); n != 1 {
-			t.Errorf("%d endpoints are used beside a foreign entry", n)
+			t.Errorf("got %d endpoints in use beside an entry of another writer, want 1", n)
 		}
 		feed.put("servers", "i-1", false)
 		time.Sleep(time.Second)
 		if n := countAlive(state); n != 2 {
-			t.Errorf("%d endpoints are used after the endpoint's own entry", n)
+			t.Errorf("got %d endpoints in use after the endpoint's own entry, want 2", n)
 		}
 		state.SetInstance(Instance{ID: "odd", Revision: 99, Service: "unheard of", Address: "10.9.9.9:1", Model: "m"})
 		for _, i := range state.Instances() {
 			if i.ID == "odd" {
-				t.Error("an endpoint of a service that is not named is asked and ordered")
+				t.Error("Instances returns an endpoint of a service that is not in the configuration")
 			}
 		}
 	})
--- a/internal/coordination/discovery/state.go
+++ b/internal/coordination/discovery/state.go
@@ -16,13 +16,14 @@
 	"limpetwall/internal/state/routes"
 )
 
-// ServiceLabel ties an instance to its service.
+// ServiceLabel is the label that holds the service of an instance.
 const ServiceLabel = "service"
 
 // Instance is one start of an endpoint as the platform lists it.
 type Instance struct {
 	ID string
-	// Born is the Unix millisecond of the start, 0 where it was not told. It tells apart the starts under one id, see fleet.Incarnation.
+	// Born is the start time in Unix milliseconds, 0 if unknown. It distinguishes starts
+	// under one id, see fleet.Incarnation.
 	Born     int64
 	Revision uint64
 	Service  string
@@ -33,28 +34,30 @@
 	Model    string
 	// Weights is the version of the model, 0 if the endpoint has none.
 	Weights int64
-	// Orders is the number of orders accepted since the start.
+	// Orders is the number of load orders accepted since the start.
 	Orders int64
 }
 
-// Incarnation names this start.
+// Incarnation identifies this start.
 func (i Instance) Incarnation() fleet.Incarnation {
 	return fleet.Incarnation{ID: i.ID, Born: i.Born}
 }
 
-// State is what the process believes. Safe for concurrent use.
+// State is this process's view of the routing table, the instances and the target weights.
+// It is safe for concurrent use.
 type State struct {
-	// Table holds the instances as members, Services the services as documents:
-	// the forms that decisions read.
+	// Table holds the instances as members, Services the services as documents. Routing
+	// decisions read them in these forms.
 	Table    *fleet.Table
 	Services *config.Store
 	Log      *zap.Logger
-	// Now is a clock that goes on while the host is suspended, for the age of named
-	// weights; set it before use.
+	// Now is a clock that also advances while the host is suspended; it measures how long
+	// versions have been the target. Set it before use.
 	Now func() time.Time
-	// RetireAfter is how long replaced weights may be used; 0 sets no limit.
+	// RetireAfter is how long an endpoint may be used after its weights were replaced; 0 sets
+	// no limit.
 	RetireAfter time.Duration
-	// BeginWithin is how long after their replacement weights may still begin to
+	// BeginWithin is how long after its weights were replaced an endpoint may still begin to
 	// answer a request that was sent before; 0 sets no limit.
 	BeginWithin time.Duration
 
@@ -70,19 +73,21 @@
 	listed        bool
 }
 
+// knownInstance is an instance together with what this process knows of it beyond its
+// entry.
 type knownInstance struct {
 	Instance
-	// loading is set while an order is carried out, outdated once its weights must not
-	// be used any more.
+	// loading is set while the endpoint carries out a load order, outdated while its weights
+	// must not be used any more.
 	loading, outdated bool
-	// draining is closed once the endpoint should be rid of its runs.
+	// draining is closed when the endpoint should have no more runs.
 	draining chan struct{}
 	// removedAt is when the entry was found missing, zero while it is listed.
 	removedAt time.Time
 }
 
-// NewState returns a state that knows nothing. onTable is called with each
-// routing table that comes in force.
+// NewState returns an empty state. onRoutes is called with each routing table that comes
+// into force.
 func NewState(self fleet.Member, log *zap.Logger, now time.Time, onRoutes func(*routes.Table)) *State {
 	cfg := fleet.DefaultConfig()
 	cfg.KeepDead = goneRetention
@@ -93,22 +98,23 @@
 	}
 }
 
-// goneRetention is how long a gone instance's row is kept, so that requests still
-// underway find it.
+// goneRetention is how long the row of a removed instance is kept, so that requests still in
+// flight find it.
 const goneRetention = 30 * time.Second
 
-// Routes is the routing table in force, nil before the first.
+// Routes returns the routing table in force, nil before the first.
 func (s *State) Routes() *routes.Table { return s.routes.Load() }
 
-// Ready tells whether requests can be decided.
+// Ready reports whether requests can be routed: a routing table is in force, and the
+// instances have been listed.
 func (s *State) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.routes.Load() != nil && s.listed
 }
 
-// SetRoutes puts a routing table in force unless a newer one is. A table never
-// goes back within a process's life: stale reads and late answers are older.
+// SetRoutes puts a routing table in force unless a newer one already is. Within a process,
+// the table never goes back to an older one: stale reads and delayed answers are dropped.
 func (s *State) SetRoutes(t *routes.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,11 +129,11 @@
 	s.onRoutes(t)
 }
 
-// intentSpec and serviceSpec are the documents' forms; see config.Intent.
+// intentSpec and serviceSpec are the stored forms of documents; see config.Intent.
 type intentSpec struct {
 	Service string            `json:"service"`
 	Labels  map[string]string `json:"labels"`
-	// MaxConcurrent runs on one endpoint.
+	// MaxConcurrent is the maximum number of concurrent runs on one endpoint.
 	MaxConcurrent int `json:"max_concurrent,omitempty"`
 }
 
@@ -155,12 +161,12 @@
 func (s *State) document(kind config.Kind, id string, spec any) config.Document {
 	data, err := json.Marshal(spec)
 	if err != nil {
-		s.Log.Error("document", zap.String("id", id), zap.Error(err))
+		s.Log.Error("cannot encode document", zap.String("id", id), zap.Error(err))
 	}
 	return config.Document{Ref: config.Ref{Kind: kind, ID: id}, Spec: data}
 }
 
-// Instance returns one instance that has not been found gone.
+// Instance returns an instance that has not been removed.
 func (s *State) Instance(id string) (Instance, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,9 +177,9 @@
 	return k.Instance, true
 }
 
-// Instances lists the instances of services that the configuration names, by id; before
-// the first configuration all. An entry of a service that it does not name may be anybody's:
-// nothing is asked of its address, and no order is sent there.
+// Instances returns, ordered by id, the instances of services in the configuration, or all
+// instances before the first configuration. An entry of a service that is not in the
+// configuration may come from any writer, so its address is not queried and gets no orders.
 func (s *State) Instances() []Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,8 +193,8 @@
 	return out
 }
 
-// HasService tells whether the configuration in force names a service; before the first one
-// every service counts as named.
+// HasService reports whether a service is in the configuration in force. Before the first
+// configuration, it reports true for every service.
 func (s *State) HasService(service string) bool {
 	t := s.routes.Load()
 	return t == nil || t.Services[service] != nil
@@ -220,8 +226,8 @@
 	if restarted {
 		s.recordRestart(k, i.Born)
 	} else if k.Weights > i.Weights {
-		// The list lags behind what the endpoint itself has said; weights of one
-		// start only grow.
+		// The list may lag behind what the endpoint itself reported. Within one start,
+		// the version of the weights only grows.
 		i.Weights = k.Weights
 	}
 	reappeared := !k.removedAt.IsZero()
@@ -238,15 +244,15 @@
 	}
 }
 
-// isSameRow tells whether two entries of one start make the same row for decisions.
+// isSameRow reports whether two entries of one start make the same row of the table.
 func isSameRow(a, b Instance) bool {
 	return a.Leaving == b.Leaving && a.Weights == b.Weights && a.Model == b.Model &&
 		a.Service == b.Service && a.Address == b.Address && a.Domain == b.Domain
 }
 
-// ObserveStart takes in an endpoint's own word of its start and its weights. It may come before
-// the entry that tells of the same start: a restarted endpoint writes its entry a second
-// or more later. An endpoint that tells of no start is taken for the one that is known.
+// ObserveStart records the start and the weights that an endpoint itself reported. The report
+// may arrive before the entry of the same start: a restarted endpoint writes its entry a
+// second or more later. A report without a start is attributed to the known start.
 func (s *State) ObserveStart(id string, born, weights int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -261,7 +267,7 @@
 	s.writeRow(k, stateOf(k.Instance))
 }
 
-// ObserveStartByAddress is Started for an endpoint that is known by its address only.
+// ObserveStartByAddress is ObserveStart for an endpoint of which only the address is known.
 func (s *State) ObserveStartByAddress(address string, born int64) {
 	for _, i := range s.Instances() {
 		if i.Address == address {
@@ -270,10 +276,10 @@
 	}
 }
 
-// recordRestart forgets what belonged to an instance's earlier start: its orders, and what it had
-// underway. Its weights are those it had, unless it says otherwise.
+// recordRestart resets what belonged to an earlier start of an instance: its orders and its
+// loading state. Its weights stay the same unless it reports others.
 func (s *State) recordRestart(k *knownInstance, born int64) {
-	s.Log.Info("endpoint restarted under its id", zap.String("endpoint", k.ID), zap.Int64("born", born), zap.Int64("before", k.Born))
+	s.Log.Info("endpoint restarted under the same id", zap.String("endpoint", k.ID), zap.Int64("born", born), zap.Int64("before", k.Born))
 	k.Born, k.Orders, k.loading = born, 0, false
 }
 
@@ -284,7 +290,7 @@
 	return fleet.Alive
 }
 
-// writeRow writes an instance's row; each write has a higher version than the last.
+// writeRow writes an instance's row; each write has a higher version than the one before.
 func (s *State) writeRow(k *knownInstance, state fleet.State) {
 	s.rowVersion++
 	s.updateOutdated(k)
@@ -303,8 +309,8 @@
 	}, time.Now())
 }
 
-// Draining returns a channel that is closed when an endpoint carries out an order, for
-// which its runs must end, or leaves; nil if it is not known.
+// Draining returns a channel that is closed when an endpoint leaves, or carries out a load
+// order, for which its runs must end. It returns nil if the endpoint is not known.
 func (s *State) Draining(id string) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -315,8 +321,8 @@
 	return k.draining
 }
 
-// updateDraining tells the runs of an endpoint that they should go elsewhere, once each time
-// that it begins to empty.
+// updateDraining signals the runs of an endpoint to move elsewhere, once each time that the
+// endpoint begins to drain.
 func (s *State) updateDraining(k *knownInstance) {
 	isDraining := false
 	select {
@@ -332,7 +338,8 @@
 	}
 }
 
-// SetLoading marks an endpoint that carries out an order: it takes no new work.
+// SetLoading records whether an endpoint carries out a load order. It gets no new work
+// meanwhile.
 func (s *State) SetLoading(id string, loading bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -344,9 +351,9 @@
 	s.writeRow(k, stateOf(k.Instance))
 }
 
-// Remove records that an instance's entry is gone. With lapsed the store has been
-// away shortly before: entries lapse then though their endpoints live, and come
-// back; only one that stays missing is gone.
+// Remove records that an instance's entry is missing. storeWasAway says that the store was
+// unreachable shortly before. Entries of running endpoints expire then and come back, so
+// an instance is dropped only if its entry stays missing (see Expire).
 func (s *State) Remove(id string, storeWasAway bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -362,7 +369,7 @@
 	}
 }
 
-// ReplaceInstances records a whole list; what it lacks is gone.
+// ReplaceInstances records a complete list of instances and removes those not in it.
 func (s *State) ReplaceInstances(list []Instance, storeWasAway bool, now time.Time) {
 	present := make(map[string]bool, len(list))
 	for _, i := range list {
@@ -379,19 +386,20 @@
 	s.mu.Unlock()
 }
 
-// knownIDs lists all instances: of services that are not named, and those that wait for their
-// address too.
+// knownIDs returns the ids of all instances, including those of services that are not in the
+// configuration and those that wait for their address.
 func (s *State) knownIDs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Concat(slices.Sorted(maps.Keys(s.instances)), slices.Sorted(maps.Keys(s.conflicts.waiting)))
 }
 
-// goneAt is the time from which a lapsed entry that has not come back counts as gone. returned is
-// when the store was last heard of endpoints again.
+// goneAt is the time from which an expired entry that has not come back counts as gone.
+// recovered is when the store last began to answer for endpoints again.
 func (k *knownInstance) goneAt(recovered time.Time) time.Time {
 	if k.removedAt.Sub(recovered) >= reappearWindow {
-		// The store had answered for endpoints for longer when the entry went: only other kinds failed.
+		// The store had already answered for endpoints for the whole window when the entry
+		// expired: only other kinds failed.
 		return k.removedAt.Add(reappearWindow)
 	}
 	until := recovered.Add(reappearWindow)
@@ -401,7 +409,7 @@
 	return until
 }
 
-// Expire drops the instances whose entries lapsed and did not come back.
+// Expire drops the instances whose entries expired and did not come back.
 func (s *State) Expire(now, recovered time.Time) {
 	s.mu.Lock()
 	for _, k := range s.instances {
--- a/internal/coordination/discovery/watch_rate_test.go
+++ b/internal/coordination/discovery/watch_rate_test.go
@@ -9,8 +9,8 @@
 
 // TestBurstOfChangesNeedsFewCalls starts 100 endpoints within two seconds.
 //
-// The first is known at once and the last within the pause between two watches; each
-// change alone would cost a call, in every process of the fleet.
+// The first must be known at once and the last within the interval between two watches. One
+// call for each change would cost as many calls in every process of the fleet.
 func TestBurstOfChangesNeedsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
@@ -22,26 +22,26 @@
 			feed.put("servers", fmt.Sprint("i", n), false)
 			time.Sleep(every)
 			if n == 0 && len(state.Instances()) != 1 {
-				t.Error("the first change is not known at once")
+				t.Error("the first endpoint is not known at once")
 			}
 		}
 		time.Sleep(minWatchInterval)
 		if got := len(state.Instances()); got != endpoints {
-			t.Errorf("%d of %d endpoints are known", got, endpoints)
+			t.Errorf("got %d known endpoints, want %d", got, endpoints)
 		}
 		var calls int
 		feed.update(func() { calls = feed.calls })
 		if most := int(endpoints*every/minWatchInterval) + watchBurst + 6; calls > most {
-			t.Errorf("%d calls to the store, at most %d", calls, most)
+			t.Errorf("got %d calls to the store, want at most %d", calls, most)
 		}
 	})
 }
 
-// TestLargeFleetWatchesLess lets 100 processes see endpoints change all the time, as engines
-// do that load weights.
+// TestLargeFleetWatchesLess lets 100 processes watch endpoints that change all the time, as
+// engines do while they load weights.
 //
-// Watches that each began every 250 ms made 400 calls a second of the fleet; now a process
-// begins one a second, and knows each change after that time.
+// When each process began a watch every 250 ms, the fleet made 400 calls a second. Now a
+// process begins one watch a second, and must know each change after that time.
 func TestLargeFleetWatchesLess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
@@ -55,15 +55,15 @@
 		}
 		time.Sleep(maxWatchInterval)
 		if got := len(state.Instances()); got != endpoints {
-			t.Errorf("%d of %d endpoints are known", got, endpoints)
+			t.Errorf("got %d known endpoints, want %d", got, endpoints)
 		}
 		var calls int
 		feed.update(func() { calls = feed.calls })
-		// The configuration and the weights are watched meanwhile, without changes.
+		// The configuration and the weights are watched meanwhile; they do not change.
 		length := endpoints*every + maxWatchInterval
 		others := 2 * (int(length/w.Wait) + 1)
 		if most := int(length/maxWatchInterval) + watchBurst + others; calls > most {
-			t.Errorf("%d calls to the store, at most %d", calls, most)
+			t.Errorf("got %d calls to the store, want at most %d", calls, most)
 		}
 	})
 }
--- a/internal/coordination/discovery/watcher.go
+++ b/internal/coordination/discovery/watcher.go
@@ -14,14 +14,14 @@
 	"limpetwall/internal/transport/pause"
 )
 
-// Kinds names the store's kinds that hold each sort of object.
+// Kinds names the kinds of objects in the store.
 type Kinds struct {
 	Config, Instances, Weights string
 	// MainConfig is the name of the one configuration object.
 	MainConfig string
 }
 
-// Decoder turns the platform's objects into the product's types.
+// Decoder decodes the platform's objects.
 type Decoder interface {
 	Config(objectapi.Record) (*routes.Table, error)
 	Instance(objectapi.Record) (Instance, error)
@@ -30,65 +30,67 @@
 
 const (
 	// callMargin is how long after a watch's own wait its answer may take. A silent
-	// connection shows no other sign.
+	// connection can be detected only by a timeout.
 	callMargin = 700 * time.Millisecond
-	// listTimeout bounds one list.
+	// listTimeout bounds one list call.
 	listTimeout = 2 * time.Second
-	// minWatchInterval is the shortest time between the beginnings of two watches of a kind,
-	// but for quickWatches of them. Changes come in crowds: 55 starting or loading
-	// endpoints otherwise cost every process 55 calls within seconds, 940 before 370
-	// processes a third of a million. A few changes are still known at once.
+	// minWatchInterval is the shortest time between the starts of two watches of a kind, after
+	// a burst of watchBurst. Changes come in bursts: without the limit, 55 endpoints that start or load
+	// cost every process 55 calls within seconds, and 940 endpoints cost 370 processes
+	// together a third of a million. The burst lets a few changes be seen at once.
 	minWatchInterval = 250 * time.Millisecond
 	watchBurst       = 4
-	// fleetWatchInterval is the mean time between the beginnings of all processes' watches of a kind
-	// in such a crowd, and slowestWatch bounds a process's own pause for it. While 180 engines
-	// load, their entries change all the time, and a hundred processes that watched every
-	// watchEvery made 400 calls a second. What must be known soonest, that an endpoint
-	// leaves, has seconds.
+	// fleetWatchInterval is the mean time between the starts of watches of a kind over all
+	// processes during such a burst; maxWatchInterval bounds the resulting interval of one process.
+	// While 180 engines load, their entries change all the time, and a hundred processes
+	// that watched every minWatchInterval made 400 calls a second. The most urgent
+	// change, that an endpoint leaves, may take seconds to be seen.
 	fleetWatchInterval = 10 * time.Millisecond
 	maxWatchInterval   = time.Second
-	// minRetryDelay and retryMost bound the pause after a failed call. The store prices
-	// refused calls too, but a configuration must be in force within seconds of its
-	// return.
+	// minRetryDelay and maxRetryDelay bound the delay after a failed call. The store charges
+	// for refused calls too, but a configuration must be in force within seconds after the
+	// store answers again.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 800 * time.Millisecond
-	// silentRetryDelay follows a call for endpoints that got no answer at all: the call has waited itself. With a longer one
-	// a process that was cut off uses endpoints which left meanwhile, until
-	// lapsedFor after it hears of them, longer than it may act on old knowledge.
+	// silentRetryDelay follows a call for endpoints that got no answer at all: the call itself
+	// has already waited. With a longer delay, a process that was cut off would use endpoints that left
+	// meanwhile until reappearWindow after it learns of them, which is longer than it may act
+	// on old knowledge.
 	silentRetryDelay = 50 * time.Millisecond
-	// probeWait is how long a watch waits after a failed one. The sooner a call that
-	// found the store silent gives up, the sooner one finds it back.
+	// probeWait is the wait of a watch after a failed one. The sooner a call to a silent
+	// store gives up, the sooner the process finds that the store answers again.
 	probeWait = 100 * time.Millisecond
-	// reappearWindow is the time after the store's return in which lapsed entries of
-	// living endpoints come back, as the platform promises.
+	// reappearWindow is the time after the store answers again within which expired entries of
+	// running endpoints come back, as the platform promises.
 	reappearWindow = 2 * time.Second
-	// reappearMargin is added for the way of the entry's return through the store.
+	// reappearMargin is added for the time that an entry which comes back takes to pass
+	// through the store.
 	reappearMargin = 300 * time.Millisecond
 )
 
-// Watcher follows the store's kinds, one duty each.
+// Watcher follows the kinds of the store, each in its own loop.
 type Watcher struct {
 	Feed    objectapi.Feed
 	Decoder Decoder
 	Kinds   Kinds
 	State   *State
 	Log     *zap.Logger
-	// Wait is how long one watch waits for a change. A silent connection is found
-	// when it and callMargin have passed.
+	// Wait is how long one watch waits for a change. A silent connection is detected after
+	// Wait and callMargin.
 	Wait time.Duration
-	// Reset, if set, is called after a failed call: connections that were open may be
-	// silent for good.
+	// Reset, if set, is called after a failed call: open connections may never answer
+	// again.
 	Reset func()
-	// Processes, if set, counts those that watch.
+	// Processes, if set, returns the number of processes that watch.
 	Processes func() int
-	// Clock goes on while the host is suspended, for ConfigAge; nil means time.Now.
+	// Clock, for ConfigAge, also advances while the host is suspended; nil means time.Now.
 	Clock func() time.Time
 
 	mu sync.Mutex
 	// recovered is closed when the store answers one kind after a failure.
 	recovered chan struct{}
-	// failing counts the duties whose last call failed; returned is when the store
-	// last answered after a failure, heard when it last answered at all.
+	// failing holds, by kind, whether the last call failed. recoveredAt is when the store
+	// last answered after a failure, lastAnswer when it last answered at all.
 	failing     map[string]bool
 	recoveredAt time.Time
 	lastAnswer  time.Time
@@ -115,10 +117,10 @@
 	return now.Sub(w.lastAnswer)
 }
 
-// ConfigAge is how long the configuration in force may have been replaced without this
-// process's knowing. What an answer says may be as old as its call: a process that was
-// paused reads an answer long after the store gave it. Without a change it grows to two
-// waits of a watch.
+// ConfigAge is an upper bound on how long ago the configuration in force may have been
+// replaced without this process knowing. It counts from the start of the call, because an
+// answer may be as old as its call: a process that was paused reads an answer long after
+// the store gave it. Without changes it grows to twice the wait of a watch.
 func (w *Watcher) ConfigAge() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,7 +134,7 @@
 	return w.Clock()
 }
 
-// confirm records an answered call for a kind that began then.
+// confirm records that a call for a kind was answered, and when that call began.
 func (w *Watcher) confirm(kind string, began time.Time) {
 	if kind != w.Kinds.Config {
 		return
@@ -149,8 +151,8 @@
 	w.lastAnswer = now
 }
 
-// followKind lists a kind and then watches it. Only a list after a gap in history can
-// tell what was removed meanwhile.
+// followKind lists a kind and then watches it. After a gap in the history only a list shows
+// what was removed meanwhile.
 func (w *Watcher) followKind(ctx context.Context, kind string) {
 	delay := minRetryDelay
 	for ctx.Err() == nil {
@@ -170,8 +172,9 @@
 	}
 }
 
-// watchContext bounds the next watch of a kind. After a failure it is short, and ends
-// at once when another kind finds the store back: what it was sent on may be dead.
+// watchContext returns the wait and the context of the next watch of a kind. After a failure
+// the wait is short, and the context ends at once when another kind finds that the store
+// answers again: the connection of the call may be dead.
 func (w *Watcher) watchContext(ctx context.Context, kind string) (time.Duration, context.Context, context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -191,7 +194,8 @@
 	return probeWait, call, cancel
 }
 
-// recoveredChannel is closed when the store is found back; w.mu is held.
+// recoveredChannel returns the channel that is closed when the store answers again; w.mu is
+// held.
 func (w *Watcher) recoveredChannel() chan struct{} {
 	if w.recovered == nil {
 		w.recovered = make(chan struct{})
@@ -199,8 +203,8 @@
 	return w.recovered
 }
 
-// waitToRetry waits after a failed call, or until another kind finds the store back;
-// false means that ctx has ended.
+// waitToRetry waits after a failed call, until d has passed or another kind finds that the
+// store answers again. It returns false if ctx has ended.
 func (w *Watcher) waitToRetry(ctx context.Context, d time.Duration) bool {
 	if w.Reset != nil {
 		w.Reset()
@@ -233,8 +237,8 @@
 	return revision, nil
 }
 
-// watch follows a kind until a call fails twice in a row: one lost answer loses
-// no history, and the next watch goes on from the same revision.
+// watch follows a kind until ctx ends or the history after the revision is compacted. A
+// failed call loses no history: the next watch continues from the same revision.
 func (w *Watcher) watch(ctx context.Context, kind string, revision uint64) error {
 	retryDelay := minRetryDelay
 	limiter := rate.NewLimiter(rate.Every(w.watchInterval()), watchBurst)
@@ -270,8 +274,8 @@
 	return ctx.Err()
 }
 
-// watchInterval is the shortest time between the beginnings of two watches of a kind, but for the
-// first few.
+// watchInterval is the shortest time between the starts of two watches of a kind after the
+// first burst.
 func (w *Watcher) watchInterval() time.Duration {
 	if w.Processes == nil {
 		return minWatchInterval
@@ -279,7 +283,8 @@
 	return min(max(minWatchInterval, time.Duration(w.Processes())*fleetWatchInterval), maxWatchInterval)
 }
 
-// recordOutcome records whether the store answers, and logs each loss and return once.
+// recordOutcome records whether the store answered a call, and logs when a kind begins to
+// fail and when it recovers.
 func (w *Watcher) recordOutcome(kind string, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -306,7 +311,8 @@
 	}
 }
 
-// wasStoreAway tells whether entries may have lapsed though their endpoints live.
+// wasStoreAway reports whether the store is, or recently was, unreachable, so that entries of
+// running endpoints may have expired.
 func (w *Watcher) wasStoreAway(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -328,7 +334,7 @@
 	list := make([]Instance, 0, len(records))
 	for _, r := range records {
 		if i, err := w.Decoder.Instance(r); err != nil {
-			w.Log.Error("instance does not decode", zap.String("endpoint", r.Name), zap.Error(err))
+			w.Log.Error("cannot decode instance", zap.String("endpoint", r.Name), zap.Error(err))
 		} else {
 			list = append(list, i)
 		}
@@ -348,7 +354,7 @@
 		err = w.applyWeights(e)
 	}
 	if err != nil {
-		w.Log.Error("object does not decode", zap.String("kind", kind), zap.String("name", e.Name),
+		w.Log.Error("cannot decode object", zap.String("kind", kind), zap.String("name", e.Name),
 			zap.Uint64("revision", e.Revision), zap.Error(err))
 	}
 }
@@ -373,8 +379,8 @@
 	}
 	i, err := w.Decoder.Instance(e.Record)
 	if err != nil {
-		// Another writer's entry names no endpoint; the endpoint whose id it has is back
-		// with its own next entry.
+		// The entry was overwritten by another writer and describes no endpoint. The
+		// endpoint with this id comes back with its own next entry.
 		w.State.Remove(e.Name, false, time.Now())
 		return err
 	}
@@ -394,17 +400,19 @@
 	return nil
 }
 
-// instancesReachableSince is when the store could last be heard of endpoints again; false if it can't be.
+// instancesReachableSince returns when the store last began to answer for endpoints again;
+// false means that it does not answer now.
 //
-// Other kinds don't count: their calls may find the store back seconds later, and lapsed entries
-// that stayed in use for as long would get requests after their endpoints have drained.
+// Other kinds do not count: their calls may find seconds later that the store answers again.
+// Expired entries that stayed in use until then would get requests after their endpoints
+// have drained.
 func (w *Watcher) instancesReachableSince() (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.instancesRecoveredAt, !w.failing[w.Kinds.Instances]
 }
 
-// runExpiry takes lapsed entries for gone once they have stayed missing.
+// runExpiry regularly drops the instances whose expired entries did not come back in time.
 func (w *Watcher) runExpiry(ctx context.Context) {
 	const interval = 100 * time.Millisecond
 	for pause.For(ctx, interval) {
--- a/internal/coordination/discovery/watcher_test.go
+++ b/internal/coordination/discovery/watcher_test.go
@@ -29,21 +29,21 @@
 		feed.put("versions", "m", 2)
 		time.Sleep(10 * time.Millisecond)
 		if !state.Ready() || state.Routes().Version != 3 || countAlive(state) != 1 || state.TargetVersion("m") != 2 {
-			t.Errorf("%v %+v %d %d", state.Ready(), state.Routes(), countAlive(state), state.TargetVersion("m"))
+			t.Errorf("got ready %v, routes %+v, %d endpoints in use, target version %d", state.Ready(), state.Routes(), countAlive(state), state.TargetVersion("m"))
 		}
 		feed.put("servers", "i-1", true)
 		time.Sleep(10 * time.Millisecond)
 		if countAlive(state) != 0 {
-			t.Error("a leaving endpoint is still used")
+			t.Error("a leaving endpoint is still in use")
 		}
 	})
 }
 
-// TestWatcherRecoversFromSilentStore lets the store fall silent for a minute and changes
+// TestWatcherRecoversFromSilentStore lets the store give no answers for a minute, and changes
 // the configuration just before it answers again.
 //
-// Callers must be served by the new configuration within 2 s of the return, though
-// every call that began before it never ends by itself.
+// The new configuration must be in force within 2 s, although every call that began during
+// the silence never ends by itself.
 func TestWatcherRecoversFromSilentStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
@@ -53,22 +53,21 @@
 		feed.update(func() { feed.silent = true })
 		time.Sleep(time.Minute)
 		if age := w.AnswerAge(time.Now()); age < 50*time.Second {
-			t.Errorf("the store counts as heard %s ago", age)
+			t.Errorf("got last answer %s ago, want at least 50s", age)
 		}
 		feed.put("config", "main", 2)
 		feed.update(func() { feed.silent = false })
 		time.Sleep(1900 * time.Millisecond)
 		if state.Routes().Version != 2 {
-			t.Errorf("version %d is in force", state.Routes().Version)
+			t.Errorf("got version %d in force, want 2", state.Routes().Version)
 		}
 	})
 }
 
-// TestConfigAge lets the store fall silent, and then a process stand still in a watch.
+// TestConfigAge first lets the store give no answers, and then pauses a process during a watch.
 //
-// A key that was taken away is refused for good only by who knows that its configuration
-// is the newest. The other kinds' answers say nothing of that, nor does an answer that was
-// given before a pause.
+// Only a process that knows its configuration to be the newest may refuse a withdrawn key for good.
+// Neither the answers for other kinds nor an answer from before a pause show that.
 func TestConfigAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
@@ -80,23 +79,23 @@
 		time.Sleep(10 * time.Second)
 		// The last answered watch began two waits ago when the next one is about to end.
 		if age := w.ConfigAge(); age > 2*w.Wait+minWatchInterval {
-			t.Errorf("%s old while the store answers", age)
+			t.Errorf("configuration is %s old while the store answers", age)
 		}
 		feed.update(func() { feed.silent = true })
 		time.Sleep(10 * time.Second)
 		w.RecordAnswer(time.Now())
 		if age := w.ConfigAge(); age < 10*time.Second {
-			t.Errorf("%s old after 10 s of silence", age)
+			t.Errorf("configuration is %s old after 10 s of silence, want at least 10s", age)
 		}
 		feed.update(func() { feed.silent = false })
 		time.Sleep(2 * time.Second)
 		if age := w.ConfigAge(); age > 2*time.Second {
-			t.Errorf("%s old after the store's return", age)
+			t.Errorf("configuration is %s old 2 s after the store answers again, want at most 2s", age)
 		}
-		// The watch that is underway is answered after the pause.
+		// The watch in flight is answered after the pause.
 		pause.Store(int64(time.Minute))
 		if age := w.ConfigAge(); age < time.Minute {
-			t.Errorf("%s old after a pause of a minute", age)
+			t.Errorf("configuration is %s old after a pause of a minute, want at least 1m", age)
 		}
 	})
 }
@@ -111,14 +110,14 @@
 		calls := 0
 		feed.update(func() { calls = feed.calls })
 		if calls > 3*20 {
-			t.Errorf("%d calls in 10 s", calls)
+			t.Errorf("got %d calls in 10 s, want at most 60", calls)
 		}
 	})
 }
 
-// TestRemovalInCompactedHistory drops the history while an endpoint leaves.
+// TestRemovalInCompactedHistory drops the store's history while an endpoint leaves.
 //
-// No event tells of it; only the list that follows does, by what it lacks.
+// No event reports that; only the following list shows it, by what is missing there.
 func TestRemovalInCompactedHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
@@ -134,28 +133,29 @@
 		})
 		time.Sleep(3 * time.Second)
 		if countAlive(state) != 1 {
-			t.Errorf("%d endpoints are used", countAlive(state))
+			t.Errorf("got %d endpoints in use, want 1", countAlive(state))
 		}
 	})
 }
 
-// TestSetRoutesIgnoresOlderConfig shows an older configuration after a newer one.
+// TestSetRoutesIgnoresOlderConfig checks that an older configuration never replaces a newer
+// one.
 func TestSetRoutesIgnoresOlderConfig(t *testing.T) {
 	state := NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 	for _, c := range []struct{ version, revision, want uint64 }{{5, 10, 5}, {4, 11, 5}, {6, 9, 5}, {7, 12, 7}, {7, 12, 7}} {
 		state.SetRoutes(routes.New(c.version, c.revision, nil, nil, nil, routes.Limits{}))
 		if got := state.Routes().Version; got != c.want {
-			t.Errorf("after %d at %d: %d in force, want %d", c.version, c.revision, got, c.want)
+			t.Errorf("after version %d at revision %d: got version %d in force, want %d", c.version, c.revision, got, c.want)
 		}
 	}
 }
 
-// TestRestartAtSameAddress restarts an endpoint at its address, as a crash does: its old
-// entry stays for seconds, longer if the store is away meanwhile.
+// TestRestartAtSameAddress restarts an endpoint at its address, as after a crash: its old
+// entry remains for seconds, longer if the store is unreachable meanwhile.
 //
-// What is sent to the life before is rejected, and a caller whose attempts all meet such
-// entries is refused though the endpoints are idle. Only the newest life is used, in
-// whatever order the entries are read.
+// Requests sent to the old instance are rejected, and a caller whose attempts all go to such
+// entries is refused although the endpoints are idle. Only the newest instance must be used,
+// in whatever order the entries are read.
 func TestRestartAtSameAddress(t *testing.T) {
 	old := Instance{ID: "old", Revision: 5, Service: "s", Address: "10.0.0.1:1"}
 	restarted := Instance{ID: "new", Revision: 9, Service: "s", Address: "10.0.0.1:1"}
@@ -166,7 +166,7 @@
 	}{
 		{"the entry is still there", func(s *State, _ time.Time) { s.SetInstance(old); s.SetInstance(restarted) }},
 		{"the new one is read first", func(s *State, _ time.Time) { s.SetInstance(restarted); s.SetInstance(old) }},
-		{"lapsed while the store was away", func(s *State, now time.Time) {
+		{"expired while the store was unreachable", func(s *State, now time.Time) {
 			s.SetInstance(old)
 			s.ReplaceInstances([]Instance{restarted, other}, true, now)
 		}},
@@ -175,7 +175,7 @@
 			s.SetInstance(restarted)
 			s.Remove("old", false, now)
 		}},
-		{"lapsed, and its last entry arrives after the new one's", func(s *State, now time.Time) {
+		{"expired, and its last entry arrives after the new one's", func(s *State, now time.Time) {
 			s.SetInstance(old)
 			s.Remove("old", false, now)
 			s.SetInstance(restarted)
@@ -183,7 +183,7 @@
 			late.Revision = 12
 			s.SetInstance(late)
 		}},
-		{"a process that finds both, until the old one lapses", func(s *State, now time.Time) {
+		{"a process that finds both, until the old one expires", func(s *State, now time.Time) {
 			late := old
 			late.Revision = 12
 			s.ReplaceInstances([]Instance{other, restarted, late}, false, now)
@@ -195,19 +195,19 @@
 			s.ReplaceInstances([]Instance{other, restarted, late}, false, now)
 			s.MarkMisdirected("old")
 		}},
-		{"both tell their starts", func(s *State, now time.Time) {
+		{"both have a start time", func(s *State, now time.Time) {
 			late, born := old, restarted
 			late.Revision, late.Born, born.Born = 12, 100, 200
 			s.ReplaceInstances([]Instance{other, born, late}, false, now)
 		}},
 		{"rejected, but no other entry is there", func(s *State, _ time.Time) { s.SetInstance(restarted); s.MarkMisdirected("new") }},
-		{"the new one is gone, and the old one had lapsed before", func(s *State, now time.Time) {
+		{"the new one is gone, and the old one had expired before", func(s *State, now time.Time) {
 			s.SetInstance(old)
 			s.Remove("old", true, now)
 			s.SetInstance(restarted)
 			s.Remove("new", false, now)
 			if len(s.Instances()) != 1 {
-				t.Error("a lapsed entry is used again")
+				t.Error("an expired entry is in use again")
 			}
 			s.SetInstance(restarted)
 		}},
@@ -221,27 +221,28 @@
 			ids = append(ids, i.ID)
 		}
 		if len(ids) != 2 || ids[0] != "new" || ids[1] != "other" {
-			t.Errorf("%s: %v are used", row.name, ids)
+			t.Errorf("%s: got instances %v in use, want [new other]", row.name, ids)
 		}
 		if m, _ := s.Table.Get("old"); m.State == fleet.Alive && m.ID != "" {
-			t.Errorf("%s: the old life is still a member", row.name)
+			t.Errorf("%s: the old instance is still a member", row.name)
 		}
 	}
 }
 
-// TestWeightsOnlyGrow lets the list lag behind what the endpoint itself has said.
+// TestWeightsOnlyGrow lists older weights than the endpoint itself reported, and sets an older
+// target than the current one.
 func TestWeightsOnlyGrow(t *testing.T) {
 	state := NewState(fleet.Member{ID: "self"}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 	state.SetInstance(Instance{ID: "i", Revision: 1, Model: "m", Weights: 1})
 	state.ObserveWeights("i", 3)
 	state.SetInstance(Instance{ID: "i", Revision: 2, Model: "m", Weights: 2})
 	if i, _ := state.Instance("i"); i.Weights != 3 {
-		t.Errorf("weights %d", i.Weights)
+		t.Errorf("got weights %d, want 3", i.Weights)
 	}
 	state.SetTarget(TargetWeights{Model: "m", Version: 4})
 	state.SetTarget(TargetWeights{Model: "m", Version: 2})
 	if state.TargetVersion("m") != 4 {
-		t.Errorf("named %d", state.TargetVersion("m"))
+		t.Errorf("got target version %d, want 4", state.TargetVersion("m"))
 	}
 }
 
@@ -256,19 +257,19 @@
 			time.Sleep(time.Second)
 		}
 		if n, since := state.EndpointsBehind("m"); n != 2 || !since.Equal(first) {
-			t.Errorf("%d behind since %s", n, since.Sub(first))
+			t.Errorf("got %d behind since %s after the first target, want 2 since 0s", n, since.Sub(first))
 		}
 		state.ObserveWeights("a", 4)
 		if n, since := state.EndpointsBehind("m"); n != 1 || since.Sub(first) != time.Second {
-			t.Errorf("%d behind since %s", n, since.Sub(first))
+			t.Errorf("got %d behind since %s after the first target, want 1 since 1s", n, since.Sub(first))
 		}
 	})
 }
 
-// TestReplacedWeightsAreRetired lets an endpoint keep replaced weights too long, and
-// another come back with them.
+// TestReplacedWeightsAreRetired lets an endpoint keep replaced weights too long, and another
+// endpoint come back with them.
 //
-// A process that started later learns from others how long they have been replaced.
+// A process that started later learns from others how long ago they were replaced.
 func TestReplacedWeightsAreRetired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		newStateWithWeights := func() *State {
@@ -290,18 +291,18 @@
 		for i, s := range []*State{first, second} {
 			s.RetireOutdated()
 			if isUsed(s, "a") {
-				t.Errorf("state %d: replaced weights are used after their time", i)
+				t.Errorf("state %d: an endpoint with replaced weights is in use after RetireAfter", i)
 			}
 			s.SetInstance(Instance{ID: "b", Service: "s", Model: "m", Weights: 1})
 			if isUsed(s, "b") {
-				t.Errorf("state %d: an endpoint that comes with replaced weights is used", i)
+				t.Errorf("state %d: an endpoint that comes back with replaced weights is in use", i)
 			}
 			s.ObserveWeights("a", 2)
 			if !isUsed(s, "a") {
-				t.Errorf("state %d: not used with the new weights", i)
+				t.Errorf("state %d: endpoint not in use with the new weights", i)
 			}
 			if s.IsLoading("a") {
-				t.Errorf("state %d: taken for loading", i)
+				t.Errorf("state %d: endpoint is reported as loading", i)
 			}
 		}
 	})
--- a/internal/coordination/discovery/weights.go
+++ b/internal/coordination/discovery/weights.go
@@ -8,13 +8,13 @@
 	"go.uber.org/zap"
 )
 
-// TargetWeights is the version of a model that operators ask for.
+// TargetWeights is the version of a model that operators asked for.
 type TargetWeights struct {
 	Model    string
 	Version  int64
 	Revision uint64
-	// learned holds when this process learned of each version that may still be missing
-	// somewhere, oldest first.
+	// learned holds, oldest first, when this process learned of each version that some
+	// endpoint may still lack.
 	learned []learnedVersion
 }
 
@@ -23,10 +23,11 @@
 	at      time.Time
 }
 
-// maxLearnedVersions bounds the versions remembered for a model.
+// maxLearnedVersions bounds the number of versions remembered for a model.
 const maxLearnedVersions = 16
 
-// SetTarget records the version of a model that operators ask for; versions grow.
+// SetTarget records the version of a model that operators asked for. A version that is not
+// higher than the current target is ignored.
 func (s *State) SetTarget(n TargetWeights) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,21 +41,22 @@
 	s.Log.Info("weights named", zap.String("model", n.Model), zap.Int64("version", n.Version), zap.Uint64("revision", n.Revision))
 }
 
-// notifyTargetChanged tells that there is something to order; s.mu is held.
+// notifyTargetChanged wakes those who wait on TargetChanged because there may be something
+// to order. s.mu is held.
 func (s *State) notifyTargetChanged() {
 	close(s.targetChanged)
 	s.targetChanged = make(chan struct{})
 }
 
-// TargetChanged returns a channel that is closed when other weights are named, or
-// an endpoint without the named ones is listed.
+// TargetChanged returns a channel that is closed when a target changes, or when an endpoint
+// without the target weights is listed.
 func (s *State) TargetChanged() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.targetChanged
 }
 
-// Targets lists the versions asked for, by model.
+// Targets returns the target weights of all models, ordered by model.
 func (s *State) Targets() []TargetWeights {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,8 +68,8 @@
 	return out
 }
 
-// EndpointsBehind counts the endpoints that have not the named weights of a model, and tells
-// since when the first version that the furthest behind lacks has been named.
+// EndpointsBehind counts the endpoints that do not have the target weights of a model. since is
+// when the first version became the target that the endpoint with the oldest weights lacks.
 func (s *State) EndpointsBehind(model string) (endpoints int, since time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +84,7 @@
 	return endpoints, n.learnedAfter(oldest)
 }
 
-// learnedAfter is when the first version above another was named.
+// learnedAfter is when the process learned of the first version above the given one.
 func (n TargetWeights) learnedAfter(version int64) time.Time {
 	for _, v := range n.learned {
 		if v.version > version {
@@ -92,15 +94,15 @@
 	return time.Time{}
 }
 
-// VersionAge is how long a version of a model has been named.
+// VersionAge is how long ago a version of a model became the target.
 type VersionAge struct {
 	Model   string `json:"model"`
 	Version int64  `json:"version"`
 	AgeMS   int64  `json:"age_ms"`
 }
 
-// VersionAges tells how long the versions that may still be missing somewhere have been
-// named.
+// VersionAges returns how long ago each version that some endpoint may still lack became
+// the target.
 func (s *State) VersionAges() []VersionAge {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,9 +119,9 @@
 	return out
 }
 
-// MergeVersionAges takes over what another process says of the age of versions. A process
-// that has started since they were named would otherwise allow the replaced ones
-// for as long again.
+// MergeVersionAges adopts the ages that another process reports where they are higher. A
+// process that started after a version became the target would otherwise allow the replaced
+// weights for the whole time again.
 func (s *State) MergeVersionAges(ages []VersionAge) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,8 +138,8 @@
 }
 
 // RetireOutdated stops the use of endpoints whose weights were replaced more than
-// RetireAfter ago, and takes them back into use once they have newer ones. What
-// they would answer is worth nothing by then.
+// RetireAfter ago, and resumes it once they have newer ones. Answers made with outdated
+// weights are worthless by then.
 func (s *State) RetireOutdated() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,8 +155,8 @@
 	return s.RetireAfter > 0 && k.Model != "" && !since.IsZero() && s.Now().Sub(since) > s.RetireAfter
 }
 
-// TimeLeftToBegin is the time within which an endpoint must begin to answer what it has
-// been sent; false if its weights are the named ones.
+// TimeLeftToBegin returns the time within which an endpoint must begin to answer requests
+// already sent to it. limited is false if its weights are the target weights or there is no limit.
 func (s *State) TimeLeftToBegin(id string) (left time.Duration, limited bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,18 +171,18 @@
 	return s.BeginWithin - s.Now().Sub(since), true
 }
 
-// updateOutdated keeps and logs whether an endpoint's weights may be used. Each
-// write of its row asks anew: an endpoint may come back with weights that were
+// updateOutdated updates whether an endpoint's weights are outdated, and logs a change. It is called
+// on each write of the row because an endpoint may come back with weights that were
 // replaced long ago.
 func (s *State) updateOutdated(k *knownInstance) {
 	if outdated := s.isOutdated(k); outdated != k.outdated {
 		k.outdated = outdated
-		s.Log.Info("endpoint's weights", zap.String("endpoint", k.ID), zap.Int64("weights", k.Weights), zap.Bool("outdated", outdated))
+		s.Log.Info("outdated state of endpoint weights changed", zap.String("endpoint", k.ID), zap.Int64("weights", k.Weights), zap.Bool("outdated", outdated))
 	}
 }
 
-// NextToLoad lists the engines that are next to load the named weights among those that have
-// the same ones as an engine: half of them, in the order in which they are ordered.
+// NextToLoad returns the engines that load the target weights next among those with the same
+// weights as the engine id: the first half of them, in the order in which they get load orders.
 func (s *State) NextToLoad(id string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +200,7 @@
 	return next[:(len(next)+1)/2]
 }
 
-// IsLoading tells whether an endpoint carries out an order.
+// IsLoading reports whether an endpoint carries out a load order.
 func (s *State) IsLoading(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -206,14 +208,14 @@
 	return ok && k.loading
 }
 
-// TargetVersion is the version asked for of one model, 0 if none is.
+// TargetVersion returns the target version of a model, 0 if there is none.
 func (s *State) TargetVersion(model string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.targets[model].Version
 }
 
-// VersionName is the form in which decisions compare versions of weights.
+// VersionName is the form in which routing decisions compare versions of weights.
 func VersionName(version int64) string {
 	if version == 0 {
 		return ""
@@ -221,7 +223,7 @@
 	return strconv.FormatInt(version, 10)
 }
 
-// ObserveWeights takes in what an endpoint itself said of its weights.
+// ObserveWeights records the weights that an endpoint itself reported.
 func (s *State) ObserveWeights(id string, weights int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
