--- a/internal/coordination/discovery/feed_test.go
+++ b/internal/coordination/discovery/feed_test.go
@@ -157,8 +157,8 @@
 }
 
 func (fakeDecoder) Weights(r objectapi.Record) (TargetWeights, error) {
-	n := TargetWeights{Model: r.Name, Revision: r.Revision}
-	return n, json.Unmarshal(r.Spec, &n.Version)
+	target := TargetWeights{Model: r.Name, Revision: r.Revision}
+	return target, json.Unmarshal(r.Spec, &target.Version)
 }
 
 // startWatcher runs a watcher on a feed until the test ends.
--- a/internal/coordination/discovery/watch_rate_test.go
+++ b/internal/coordination/discovery/watch_rate_test.go
@@ -17,10 +17,10 @@
 		state, _ := startWatcher(t, feed)
 		time.Sleep(2 * time.Second)
 		feed.update(func() { feed.calls = 0 })
-		const endpoints, every = 100, 20 * time.Millisecond
+		const endpoints, interval = 100, 20 * time.Millisecond
 		for n := range endpoints {
 			feed.put("servers", fmt.Sprint("i", n), false)
-			time.Sleep(every)
+			time.Sleep(interval)
 			if n == 0 && len(state.Instances()) != 1 {
 				t.Error("the first endpoint is not known at once")
 			}
@@ -31,7 +31,7 @@
 		}
 		var calls int
 		feed.update(func() { calls = feed.calls })
-		if most := int(endpoints*every/minWatchInterval) + watchBurst + 6; calls > most {
+		if most := int(endpoints*interval/minWatchInterval) + watchBurst + 6; calls > most {
 			t.Errorf("got %d calls to the store, want at most %d", calls, most)
 		}
 	})
@@ -48,10 +48,10 @@
 		state, w := startWatcherWith(t, feed, func(w *Watcher) { w.Processes = func() int { return 100 } })
 		time.Sleep(10 * time.Second)
 		feed.update(func() { feed.calls = 0 })
-		const endpoints, every = 500, 20 * time.Millisecond
+		const endpoints, interval = 500, 20 * time.Millisecond
 		for n := range endpoints {
 			feed.put("servers", fmt.Sprint("i", n), false)
-			time.Sleep(every)
+			time.Sleep(interval)
 		}
 		time.Sleep(maxWatchInterval)
 		if got := len(state.Instances()); got != endpoints {
@@ -60,9 +60,9 @@
 		var calls int
 		feed.update(func() { calls = feed.calls })
 		// The configuration and the weights are watched meanwhile; they do not change.
-		length := endpoints*every + maxWatchInterval
-		others := 2 * (int(length/w.Wait) + 1)
-		if most := int(length/maxWatchInterval) + watchBurst + others; calls > most {
+		duration := endpoints*interval + maxWatchInterval
+		others := 2 * (int(duration/w.Wait) + 1)
+		if most := int(duration/maxWatchInterval) + watchBurst + others; calls > most {
 			t.Errorf("got %d calls to the store, want at most %d", calls, most)
 		}
 	})
--- a/internal/coordination/discovery/watcher.go
+++ b/internal/coordination/discovery/watcher.go
@@ -392,11 +392,11 @@
 	if e.Removed {
 		return nil
 	}
-	n, err := w.Decoder.Weights(e.Record)
+	target, err := w.Decoder.Weights(e.Record)
 	if err != nil {
 		return err
 	}
-	w.State.SetTarget(n)
+	w.State.SetTarget(target)
 	return nil
 }
 
--- a/internal/coordination/discovery/watcher_test.go
+++ b/internal/coordination/discovery/watcher_test.go
@@ -196,9 +196,9 @@
 			s.MarkMisdirected("old")
 		}},
 		{"both have a start time", func(s *State, now time.Time) {
-			late, born := old, restarted
-			late.Revision, late.Born, born.Born = 12, 100, 200
-			s.ReplaceInstances([]Instance{other, born, late}, false, now)
+			late, started := old, restarted
+			late.Revision, late.Born, started.Born = 12, 100, 200
+			s.ReplaceInstances([]Instance{other, started, late}, false, now)
 		}},
 		{"rejected, but no other entry is there", func(s *State, _ time.Time) { s.SetInstance(restarted); s.MarkMisdirected("new") }},
 		{"the new one is gone, and the old one had expired before", func(s *State, now time.Time) {
--- a/internal/coordination/discovery/weights.go
+++ b/internal/coordination/discovery/weights.go
@@ -28,17 +28,17 @@
 
 // SetTarget records the version of a model that operators asked for. A version that is not
 // higher than the current target is ignored.
-func (s *State) SetTarget(n TargetWeights) {
+func (s *State) SetTarget(t TargetWeights) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n.Version <= s.targets[n.Model].Version {
+	if t.Version <= s.targets[t.Model].Version {
 		return
 	}
-	n.learned = append(s.targets[n.Model].learned, learnedVersion{n.Version, s.Now()})
-	n.learned = n.learned[max(0, len(n.learned)-maxLearnedVersions):]
-	s.targets[n.Model] = n
+	t.learned = append(s.targets[t.Model].learned, learnedVersion{t.Version, s.Now()})
+	t.learned = t.learned[max(0, len(t.learned)-maxLearnedVersions):]
+	s.targets[t.Model] = t
 	s.notifyTargetChanged()
-	s.Log.Info("weights named", zap.String("model", n.Model), zap.Int64("version", n.Version), zap.Uint64("revision", n.Revision))
+	s.Log.Info("weights named", zap.String("model", t.Model), zap.Int64("version", t.Version), zap.Uint64("revision", t.Revision))
 }
 
 // notifyTargetChanged wakes those who wait on TargetChanged because there may be something
@@ -61,8 +61,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]TargetWeights, 0, len(s.targets))
-	for _, n := range s.targets {
-		out = append(out, n)
+	for _, target := range s.targets {
+		out = append(out, target)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Model < out[b].Model })
 	return out
@@ -73,20 +73,20 @@
 func (s *State) EndpointsBehind(model string) (endpoints int, since time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.targets[model]
-	oldest := n.Version
+	target := s.targets[model]
+	oldest := target.Version
 	for _, k := range s.instances {
-		if k.Model == model && !k.Leaving && k.Weights < n.Version {
+		if k.Model == model && !k.Leaving && k.Weights < target.Version {
 			endpoints++
 			oldest = min(oldest, k.Weights)
 		}
 	}
-	return endpoints, n.learnedAfter(oldest)
+	return endpoints, target.learnedAfter(oldest)
 }
 
 // learnedAfter is when the process learned of the first version above the given one.
-func (n TargetWeights) learnedAfter(version int64) time.Time {
-	for _, v := range n.learned {
+func (t TargetWeights) learnedAfter(version int64) time.Time {
+	for _, v := range t.learned {
 		if v.version > version {
 			return v.at
 		}
@@ -108,9 +108,9 @@
 	defer s.mu.Unlock()
 	var out []VersionAge
 	now := s.Now()
-	for _, n := range s.targets {
-		for _, v := range n.learned {
-			out = append(out, VersionAge{n.Model, v.version, now.Sub(v.at).Milliseconds()})
+	for _, target := range s.targets {
+		for _, v := range target.learned {
+			out = append(out, VersionAge{target.Model, v.version, now.Sub(v.at).Milliseconds()})
 		}
 	}
 	sort.Slice(out, func(a, b int) bool {
