--- a/internal/coordination/discovery/addressconflict.go
+++ b/internal/coordination/discovery/addressconflict.go
@@ -8,10 +8,10 @@
 
 // addressConflicts decides which of several instances listed with one address has it now; the
 // others are entries of earlier instances. The entry of a crashed instance remains for seconds,
-// longer if the store is unreachable. An entry whose write was in flight when its endpoint was cut
-// off is stored after the new instance's entry, with a higher revision. If it replaced the
-// new one, a healthy endpoint would stay idle until its entry next changes, which may
-// never happen if no new weights are loaded.
+// longer if the store is unreachable. An entry whose write was in flight when its endpoint was
+// cut off may be stored after the new instance's entry, with a higher revision. If it replaced
+// the new one, a healthy endpoint would stay idle, and get no new weights, until its entry next
+// changes, which may never happen.
 type addressConflicts struct {
 	// firstSeen is the revision at which each id was first listed.
 	firstSeen map[string]uint64
--- a/internal/coordination/discovery/expiry_test.go
+++ b/internal/coordination/discovery/expiry_test.go
@@ -64,7 +64,7 @@
 		}
 		time.Sleep(time.Second)
 		feed.update(func() { feed.refusedKind = "" })
-		// The other kind is answered again within a second of the store's recovery; the expiry
+		// Calls for endpoints were answered within a second of the store's recovery, and the expiry
 		// loop checks every 0.1 s.
 		time.Sleep(1100 * time.Millisecond)
 		if countAlive(state) != 0 {
--- a/internal/coordination/discovery/state.go
+++ b/internal/coordination/discovery/state.go
@@ -129,7 +129,7 @@
 	s.onRoutes(t)
 }
 
-// intentSpec and serviceSpec are the stored forms of documents; see config.Intent.
+// intentSpec and serviceSpec are the JSON forms of documents; see config.Intent.
 type intentSpec struct {
 	Service string            `json:"service"`
 	Labels  map[string]string `json:"labels"`
--- a/internal/coordination/discovery/watcher_test.go
+++ b/internal/coordination/discovery/watcher_test.go
@@ -42,8 +42,8 @@
 // TestWatcherRecoversFromSilentStore lets the store give no answers for a minute, and changes
 // the configuration just before it answers again.
 //
-// The new configuration must be in force within 2 s, although every call that began during
-// the silence never ends by itself.
+// The new configuration must be in force within 2 s of the store's recovery, although no call
+// that began before it ever ends by itself.
 func TestWatcherRecoversFromSilentStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -1,11 +1,11 @@
-// Package lease holds a lease in the platform's object API. The object's version
-// at acquisition is the fencing number: each holder has a higher one.
+// Package lease implements a lease stored as an object in the platform's object API. The
+// object's version at acquisition is the fencing token: each holder has a higher one.
 //
-// No two clocks are compared. A candidate takes the lease over only after it has
-// itself seen the object unchanged for the whole term, by its own monotonic clock;
-// the holder stops acting when a term has passed since it *began* its last renewal,
-// by its own. A holder that was paused notices on its next look; what it sent just
-// before is refused by its old fencing number.
+// No two clocks are compared. A candidate takes the lease over only after it has itself seen
+// the object unchanged for the whole term, by its own monotonic clock. The holder stops
+// acting, by its own clock, before a term has passed since it *began* its last renewal. A holder
+// that was paused notices at its next check of the lease; requests that it sent just before are
+// refused because of their old fencing token.
 package lease
 
 import (
@@ -19,41 +19,42 @@
 	"limpetwall/internal/transport/objectapi"
 )
 
-// ErrNotHeld tells that this process does not hold the lease now.
+// ErrNotHeld is returned when this process does not hold the lease now.
 const ErrNotHeld = errors.ConstError("lease is not held")
 
-// Config tunes a lease.
+// Config configures a lease.
 type Config struct {
-	// Key of the object, and the holder's name in it.
+	// Key is the key of the object, Holder this process's name in it.
 	Key, Holder string
-	// Term without renewal after which others take over.
+	// Term is the time without renewal after which others take over.
 	Term time.Duration
-	// Act is how long after the begin of its last renewal the holder may act; 0 means
-	// three quarters of the term. The shorter it is, the longer nobody acts before
-	// another takes over.
+	// Act is how long after the start of its last renewal the holder may act; 0 means
+	// three quarters of the term. The shorter it is, the longer the time in which nobody may
+	// act before another process takes over.
 	Act time.Duration
 	// CallTimeout bounds one platform call.
 	CallTimeout time.Duration
-	// Now is the clock; nil means time.Now. Where hosts may be suspended it must go
-	// on meanwhile: a holder that wakes would else believe that no time has passed.
+	// Now is the clock; nil means time.Now. If hosts may be suspended, it must advance
+	// meanwhile: a holder that resumes would otherwise assume that no time has passed.
 	Now func() time.Time
 }
 
-// content is what the object holds. Sequence makes each renewal a change: a store
-// may leave the version alone when the same bytes are written again, and the
-// others would take the lease for lapsed.
+// content is the value of the object. Sequence makes the value differ at each renewal: a
+// store may leave the version unchanged when the same bytes are written again, and the
+// other processes would then consider the lease expired.
 type content struct {
 	Holder   string          `json:"holder"`
 	Sequence uint64          `json:"sequence"`
 	Note     json.RawMessage `json:"note,omitempty"`
 }
 
-// renewWindow is how long after its last renewal a holder renews; later it asks first
-// whether another has taken over.
+// renewWindow is how long after its last renewal a holder renews without reading the lease.
+// After that it first checks whether another process has taken over.
 func (c Config) renewWindow() time.Duration { return c.Term - c.Term/marginDivisor }
 
-// marginDivisor is how much earlier than the others' a holder's own term ends: a call
-// that is on its way when it ends has landed or failed by then.
+// marginDivisor sets the margin by which the holder's own term ends earlier than the term
+// that others wait for: a quarter of the term. A call in flight when the holder's term ends has
+// succeeded or failed by the time the others' term ends.
 const marginDivisor = 4
 
 // Lease is one process's view of a lease.
@@ -62,26 +63,28 @@
 	api objectapi.API
 
 	mu sync.Mutex
-	// fence is the number this process holds the lease under, 0 if it does not;
-	// version is the object's, which renewals raise.
+	// fence is the fencing token under which this process holds the lease, 0 if it does not;
+	// version is the version of the object, which each renewal raises.
 	fence     uint64
 	version   int64
 	renewedAt time.Time
-	// seenVersion is the version last seenVersion and since when, other what it held.
+	// seenVersion is the version last seen and seenAt since when. lastRead is the content last read.
 	seenVersion int64
 	seenAt      time.Time
 	lastRead    content
-	// sequence and note of this process's own writes.
+	// sequence and note are written with this process's own renewals.
 	sequence uint64
 	note     json.RawMessage
-	// takeoverPending tells that a write which takes the lease from another was sent;
-	// takenAt is when one is known to have won, zero if the lease was free.
+	// takeoverPending is set once a write that takes the lease over from another holder has
+	// been sent. takenOverAt is when such a write is known to have succeeded, zero if none
+	// has. takenOverNote is the last note of the previous holder.
 	takeoverPending bool
 	takenOverAt     time.Time
 	takenOverNote   json.RawMessage
-	// lastWritten is the value of this process's last write that won.
+	// lastWritten is the value of this process's last successful write.
 	lastWritten []byte
-	// observedAt is when the holder itself last told of a renewal, news has an item then.
+	// observedAt is when the holder last announced a renewal; renewals then receives an
+	// item.
 	observedAt time.Time
 	renewals   chan struct{}
 }
@@ -97,15 +100,15 @@
 	return &Lease{cfg: cfg, api: api, renewals: make(chan struct{}, 1)}
 }
 
-// SetNote leaves a note for the others, JSON, with the next renewal.
+// SetNote sets the note, in JSON, that the next renewal publishes to the other processes.
 func (l *Lease) SetNote(note []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.note = note
 }
 
-// HolderNote is the holder's note as last read, nil while this process holds the
-// lease or has read none.
+// HolderNote is the holder's note as last read; nil while this process holds the lease or
+// has read none.
 func (l *Lease) HolderNote() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,24 +118,24 @@
 	return l.lastRead.Note
 }
 
-// LastNote is the note last read, of whichever holder.
+// LastNote is the note last read, of any holder.
 func (l *Lease) LastNote() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastRead.Note
 }
 
-// LastWrite is this process's last write that won: the object's version after it, and its
-// value.
+// LastWrite returns this process's last successful write: the version of the object after it,
+// and its value.
 func (l *Lease) LastWrite() (version int64, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.version, l.lastWritten
 }
 
-// ObserveRenewal takes in what the holder says that it has written, as if it had been read from the
-// store. Versions grow, so a word that was delayed or repeated changes nothing; a late one
-// only lets the lease lapse later before this process's eyes.
+// ObserveRenewal records a write that the holder announced, as if it had been read from the
+// store. Versions grow, so a delayed or repeated announcement of a version already seen changes
+// nothing. A late one only makes the lease expire later from this process's point of view.
 func (l *Lease) ObserveRenewal(version int64, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -152,26 +155,27 @@
 	}
 }
 
-// LastObservedRenewal is when the holder last told of a renewal, the zero time if it never did.
+// LastObservedRenewal is when the holder last announced a renewal, the zero time if it never did.
 func (l *Lease) LastObservedRenewal() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.observedAt
 }
 
-// RenewalObserved has an item when the holder has told of a renewal.
+// RenewalObserved returns a channel that receives an item when the holder has announced a
+// renewal.
 func (l *Lease) RenewalObserved() <-chan struct{} { return l.renewals }
 
-// TakenOver tells when this process took the lease over from another holder, and the
-// note that the other had left last; the zero time if it did not. What the other
-// sent just before may still be on its way then.
+// TakenOver returns when this process took the lease over from another holder, and the last
+// note of that holder; the zero time if it did not. Requests that the other holder sent
+// just before may still be in flight then.
 func (l *Lease) TakenOver() (at time.Time, note []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.takenOverAt, l.takenOverNote
 }
 
-// nextValue is what the next write puts into the object.
+// nextValue is the value of the next write of the object.
 func (l *Lease) nextValue() ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,7 +184,7 @@
 	return data, errors.Trace(err)
 }
 
-// Fence returns the fencing number while the lease is surely held, or ErrNotHeld.
+// Fence returns the fencing token while the lease is certain to be held, or ErrNotHeld.
 func (l *Lease) Fence(now time.Time) (uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -190,16 +194,16 @@
 	return l.fence, nil
 }
 
-// IsHeld tells whether this process is the holder as far as it knows, though it may
-// have to renew before it acts.
+// IsHeld reports whether this process is the holder as far as it knows. It may still have
+// to renew before it acts.
 func (l *Lease) IsHeld(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fence != 0 && now.Sub(l.renewedAt) < l.cfg.renewWindow()
 }
 
-// Step looks at the lease once: it renews it if held, and takes it if it has
-// lapsed. Call it a few times a term.
+// Step renews the lease if it is held, and acquires it if it has expired. Call it a few times
+// a term.
 func (l *Lease) Step(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.CallTimeout)
 	defer cancel()
@@ -210,8 +214,8 @@
 	return l.tryAcquire(ctx, began)
 }
 
-// renew writes the object under its version. After a lost answer the version is
-// unknown: the lease is given up and won again by waiting, as by anybody.
+// renew writes the object under its version. If the answer is lost, the version is unknown:
+// the process gives the lease up and acquires it again by waiting, like any other candidate.
 func (l *Lease) renew(ctx context.Context, began time.Time) error {
 	l.mu.Lock()
 	version := l.version
@@ -252,8 +256,8 @@
 	}
 	o, err = l.api.Put(ctx, l.cfg.Key, value, o.Version)
 	if err != nil {
-		// Lost or refused: whoever holds it now, the object has changed or will
-		// have, and the wait begins anew.
+		// The answer was lost or the write refused. Whoever holds the lease now, the
+		// object has changed or will have changed, and the wait starts again.
 		return err
 	}
 	l.mu.Lock()
@@ -266,31 +270,31 @@
 	return nil
 }
 
-// recordTakeover remembers a takeover until one has won: its answer may be lost, and
-// the next look then finds this process as holder.
+// recordTakeover remembers a takeover until one has succeeded: its answer may be lost, and
+// the next read then finds this process as holder.
 func (l *Lease) recordTakeover(note json.RawMessage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.takeoverPending, l.takenOverNote = true, note
 }
 
-// applyRead takes in what the object holds. A lease that names this process as holder
-// is from its earlier life, or from a write whose answer was lost: nobody else can
-// act under it, so it is taken again at once, under a higher number.
+// applyRead records the value read from the object. A lease that names this process as
+// holder is from before its restart, or from a write whose answer was lost. Nobody else can
+// act under it, so it is acquired again at once, with a higher fencing token.
 func (l *Lease) applyRead(o objectapi.Object) content {
 	c := decodeContent(o.Value)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.Holder != l.cfg.Holder {
-		// Another holds it now: its note is the one to follow.
+		// Another process holds the lease now, and its note is the valid one.
 		l.fence = 0
 	}
 	l.lastRead = c
 	return c
 }
 
-// decodeContent reads an object's value. One that does not decode is from an older
-// release; its holder counts as another.
+// decodeContent decodes an object's value. A value that does not decode is from an older
+// release; its holder counts as another process.
 func decodeContent(value []byte) content {
 	var c content
 	if err := json.Unmarshal(value, &c); err != nil {
@@ -299,8 +303,8 @@
 	return c
 }
 
-// hasExpired tells whether the object has stayed at a version for a whole term before
-// this process's eyes. A lease that never existed has hasExpired.
+// hasExpired reports whether this process has seen the object stay at one version for a whole
+// term. A lease that never existed has expired.
 func (l *Lease) hasExpired(version int64, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -13,7 +13,7 @@
 
 const term = 8 * time.Second
 
-// faultyStore loses answers or is down.
+// faultyStore is a store that loses answers to writes or is unavailable.
 type faultyStore struct {
 	*standin.Store
 	loseAnswers, down bool
@@ -46,8 +46,8 @@
 	return fence, err == nil
 }
 
-// stepAll lets some leases look every two seconds for a while, and checks after
-// each that at most one holds.
+// stepAll steps some leases every two seconds for a while, and checks after each step that
+// at most one of them is held.
 func stepAll(t *testing.T, duration time.Duration, all ...*lease.Lease) {
 	t.Helper()
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(2 * time.Second) {
@@ -60,17 +60,17 @@
 				}
 			}
 			if held > 1 {
-				t.Fatalf("%d holders at once", held)
+				t.Fatalf("got %d holders at once, want at most 1", held)
 			}
 		}
 	}
 }
 
-// TestTakeover kills, pauses and cuts off a holder.
+// TestTakeover stops, pauses and cuts off a holder.
 //
-// Each time the other takes over after a term, under a higher fencing number; at
-// no moment do both think that they hold the lease, and a paused holder knows on
-// waking, before it acts, that it does not.
+// Each time the other process must take over after a term, with a higher fencing token. At no
+// moment may both consider themselves holders, and a paused holder must know when it
+// resumes, before it acts, that it no longer holds the lease.
 func TestTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.New()
@@ -79,23 +79,23 @@
 		stepAll(t, 20*time.Second, a, b)
 		first, ok := fenceOf(a)
 		if !ok {
-			t.Fatal("nobody took the lease")
+			t.Fatal("nobody acquired the lease")
 		}
-		// a is paused: only b looks.
+		// a is paused: only b steps.
 		stepAll(t, 3*term, b)
 		second, ok := fenceOf(b)
 		if !ok || second <= first {
-			t.Fatalf("fence %d after %d, held %v", second, first, ok)
+			t.Fatalf("got fence %d after %d, held %v; want a higher one, held", second, first, ok)
 		}
 		if _, ok := fenceOf(a); ok {
-			t.Error("the paused holder wakes as holder")
+			t.Error("the paused holder still holds the lease when it resumes")
 		}
 		stepAll(t, term, a, b)
 		// b stops; a takes over again, then is cut off from the platform.
 		stepAll(t, 3*term, a)
 		third, ok := fenceOf(a)
 		if !ok || third <= second {
-			t.Fatalf("fence %d after %d, held %v", third, second, ok)
+			t.Fatalf("got fence %d after %d, held %v; want a higher one, held", third, second, ok)
 		}
 		mine.down = true
 		stepAll(t, 4*term, a, b)
@@ -107,15 +107,15 @@
 
 // TestLostAnswers loses the answers to acquisitions and renewals.
 //
-// The process that wrote does not know whether it holds the lease, so it does not
-// act; it or another takes it after a term, and the fencing number still grows.
+// The process that wrote does not know whether it holds the lease, so it must not act. It or
+// another process acquires the lease after a term, and the fencing token still grows.
 func TestLostAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		api := &faultyStore{Store: standin.New(), loseAnswers: true}
 		a, b := newLease(api, "a"), newLease(api, "b")
 		stepAll(t, 2*term, a)
 		if _, ok := fenceOf(a); ok {
-			t.Fatal("held after a lost answer")
+			t.Fatal("lease is held after a lost answer")
 		}
 		api.loseAnswers = false
 		stepAll(t, 3*term, a, b)
@@ -124,7 +124,7 @@
 			first, ok = fenceOf(b)
 		}
 		if !ok {
-			t.Fatal("nobody took the lease")
+			t.Fatal("nobody acquired the lease")
 		}
 		api.loseAnswers = true
 		a.Step(t.Context())
@@ -136,12 +136,13 @@
 			second, ok = fenceOf(b)
 		}
 		if !ok || second <= first {
-			t.Errorf("fence %d after %d, held %v", second, first, ok)
+			t.Errorf("got fence %d after %d, held %v; want a higher one, held", second, first, ok)
 		}
 	})
 }
 
-// TestPlatformDownForAnHour keeps anybody from acting, and recovers.
+// TestPlatformDownForAnHour checks that nobody acts while the platform is unavailable, and
+// that the lease is acquired again afterwards.
 func TestPlatformDownForAnHour(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		api := &faultyStore{Store: standin.New()}
@@ -151,7 +152,7 @@
 		stepAll(t, time.Hour, a, b)
 		for _, l := range []*lease.Lease{a, b} {
 			if _, ok := fenceOf(l); ok {
-				t.Error("held through an outage longer than the term")
+				t.Error("lease is held through an outage longer than the term")
 			}
 		}
 		api.down = false
@@ -159,16 +160,16 @@
 		_, mine := fenceOf(a)
 		_, theirs := fenceOf(b)
 		if !mine && !theirs {
-			t.Error("nobody holds it after the outage")
+			t.Error("nobody holds the lease after the outage")
 		}
 	})
 }
 
-// TestObserveRenewal has a candidate hear of renewals from the holder instead of the store.
+// TestObserveRenewal lets a candidate learn of renewals from the holder instead of the store.
 //
-// What it is told counts as seen: the lease lapses a whole term after the last word, not
-// after its last look, and a word that was delayed or comes twice does not put that off. A
-// process that believes to hold the lease gives it up when it is told of a later holder.
+// An announced renewal counts as seen: the lease expires a whole term after the last announcement,
+// not after the candidate's last read. A delayed or repeated announcement does not postpone that. A
+// process that considers itself the holder gives the lease up when it learns of a later holder.
 func TestObserveRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.New()
@@ -181,25 +182,25 @@
 		a.Step(t.Context())
 		b.ObserveRenewal(a.LastWrite())
 		if note := string(b.HolderNote()); note != `"later"` {
-			t.Errorf("note %q", note)
+			t.Errorf("got note %q, want the announced one", note)
 		}
 		time.Sleep(term - time.Millisecond)
 		b.ObserveRenewal(first, firstValue)
 		b.ObserveRenewal(a.LastWrite())
 		if b.Step(t.Context()); b.IsHeld(time.Now()) {
-			t.Error("taken over within a term of the last word")
+			t.Error("lease was taken over within a term of the last announcement")
 		}
 		time.Sleep(time.Millisecond)
 		b.SetNote([]byte(`"of b"`))
 		if err := b.Step(t.Context()); err != nil {
-			t.Errorf("not taken over a term after the last word: %v", err)
+			t.Errorf("lease was not taken over a term after the last announcement: %v", err)
 		}
 		if _, held := fenceOf(b); !held {
-			t.Error("not held")
+			t.Error("b does not hold the lease after its takeover")
 		}
 		a.ObserveRenewal(b.LastWrite())
 		if note := string(a.HolderNote()); a.IsHeld(time.Now()) || note != `"of b"` {
-			t.Error("the old holder does not follow the new one")
+			t.Error("the old holder did not adopt the new holder")
 		}
 	})
 }
