--- a/internal/coordination/discovery/expiry_test.go
+++ b/internal/coordination/discovery/expiry_test.go
@@ -64,8 +64,8 @@
 		}
 		time.Sleep(time.Second)
 		feed.update(func() { feed.refusedKind = "" })
-		// Calls for endpoints were answered within a second of the store's recovery, and the expiry
-		// loop checks every 0.1 s.
+		// Calls for endpoints were answered within a second of the store's recovery, and the
+		// expiry loop checks every 0.1 s.
 		time.Sleep(1100 * time.Millisecond)
 		if countAlive(state) != 0 {
 			t.Error("endpoint still in use 2.1 s after the store answered for endpoints again")
--- a/internal/coordination/discovery/state.go
+++ b/internal/coordination/discovery/state.go
@@ -161,7 +161,7 @@
 func (s *State) document(kind config.Kind, id string, spec any) config.Document {
 	data, err := json.Marshal(spec)
 	if err != nil {
-		s.Log.Error("cannot encode document", zap.String("id", id), zap.Error(err))
+		s.Log.Error("document", zap.String("id", id), zap.Error(err))
 	}
 	return config.Document{Ref: config.Ref{Kind: kind, ID: id}, Spec: data}
 }
--- a/internal/coordination/discovery/watcher.go
+++ b/internal/coordination/discovery/watcher.go
@@ -35,15 +35,15 @@
 	// listTimeout bounds one list call.
 	listTimeout = 2 * time.Second
 	// minWatchInterval is the shortest time between the starts of two watches of a kind, after
-	// a burst of watchBurst. Changes come in bursts: without the limit, 55 endpoints that start or load
-	// cost every process 55 calls within seconds, and 940 endpoints cost 370 processes
-	// together a third of a million. The burst lets a few changes be seen at once.
+	// a burst of watchBurst. Changes come in bursts: without the limit, 55 endpoints that start
+	// or load cost every process 55 calls within seconds, and 940 endpoints cost 370 processes
+	// together a third of a million calls. The burst lets a few changes be seen at once.
 	minWatchInterval = 250 * time.Millisecond
 	watchBurst       = 4
 	// fleetWatchInterval is the mean time between the starts of watches of a kind over all
-	// processes during such a burst; maxWatchInterval bounds the resulting interval of one process.
-	// While 180 engines load, their entries change all the time, and a hundred processes
-	// that watched every minWatchInterval made 400 calls a second. The most urgent
+	// processes during such a burst; maxWatchInterval bounds the resulting interval of one
+	// process. While 180 engines load, their entries change all the time, and a hundred
+	// processes that watched every minWatchInterval made 400 calls a second. The most urgent
 	// change, that an endpoint leaves, may take seconds to be seen.
 	fleetWatchInterval = 10 * time.Millisecond
 	maxWatchInterval   = time.Second
@@ -53,9 +53,9 @@
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 800 * time.Millisecond
 	// silentRetryDelay follows a call for endpoints that got no answer at all: the call itself
-	// has already waited. With a longer delay, a process that was cut off would use endpoints that left
-	// meanwhile until reappearWindow after it learns of them, which is longer than it may act
-	// on old knowledge.
+	// has already waited. With a longer delay, a process that was cut off would use endpoints
+	// that left meanwhile until reappearWindow after it learns of them, which is longer than it
+	// may act on old knowledge.
 	silentRetryDelay = 50 * time.Millisecond
 	// probeWait is the wait of a watch after a failed one. The sooner a call to a silent
 	// store gives up, the sooner the process finds that the store answers again.
@@ -134,7 +134,7 @@
 	return w.Clock()
 }
 
-// confirm records that a call for a kind was answered, and when that call began.
+// confirm records when an answered call for the configuration began; other kinds are ignored.
 func (w *Watcher) confirm(kind string, began time.Time) {
 	if kind != w.Kinds.Config {
 		return
--- a/internal/coordination/discovery/watcher_test.go
+++ b/internal/coordination/discovery/watcher_test.go
@@ -66,8 +66,8 @@
 
 // TestConfigAge first lets the store give no answers, and then pauses a process during a watch.
 //
-// Only a process that knows its configuration to be the newest may refuse a withdrawn key for good.
-// Neither the answers for other kinds nor an answer from before a pause show that.
+// Only a process that knows its configuration to be the newest may refuse a withdrawn key for
+// good. Neither the answers for other kinds nor an answer from before a pause show that.
 func TestConfigAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed()
@@ -79,7 +79,7 @@
 		time.Sleep(10 * time.Second)
 		// The last answered watch began two waits ago when the next one is about to end.
 		if age := w.ConfigAge(); age > 2*w.Wait+minWatchInterval {
-			t.Errorf("configuration is %s old while the store answers", age)
+			t.Errorf("configuration is %s old while the store answers, want at most two waits of a watch", age)
 		}
 		feed.update(func() { feed.silent = true })
 		time.Sleep(10 * time.Second)
--- a/internal/coordination/discovery/weights.go
+++ b/internal/coordination/discovery/weights.go
@@ -68,8 +68,8 @@
 	return out
 }
 
-// EndpointsBehind counts the endpoints that do not have the target weights of a model. since is
-// when the first version became the target that the endpoint with the oldest weights lacks.
+// EndpointsBehind counts the endpoints that do not have the target weights of a model. since
+// is when the first version that the endpoint furthest behind lacks became the target.
 func (s *State) EndpointsBehind(model string) (endpoints int, since time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +84,8 @@
 	return endpoints, target.learnedAfter(oldest)
 }
 
-// learnedAfter is when the process learned of the first version above the given one.
+// learnedAfter is when this process learned of the first version above the given one, the
+// zero time if there is none.
 func (t TargetWeights) learnedAfter(version int64) time.Time {
 	for _, v := range t.learned {
 		if v.version > version {
@@ -127,11 +128,11 @@
 	defer s.mu.Unlock()
 	now := s.Now()
 	for _, a := range ages {
-		since := s.targets[a.Model].learned
-		for i := range since {
+		learned := s.targets[a.Model].learned
+		for i := range learned {
 			at := now.Add(-time.Duration(a.AgeMS) * time.Millisecond)
-			if since[i].version == a.Version && at.Before(since[i].at) {
-				since[i].at = at
+			if learned[i].version == a.Version && at.Before(learned[i].at) {
+				learned[i].at = at
 			}
 		}
 	}
@@ -171,8 +172,8 @@
 	return s.BeginWithin - s.Now().Sub(since), true
 }
 
-// updateOutdated updates whether an endpoint's weights are outdated, and logs a change. It is called
-// on each write of the row because an endpoint may come back with weights that were
+// updateOutdated updates whether an endpoint's weights are outdated, and logs a change. It is
+// called on each write of the row because an endpoint may come back with weights that were
 // replaced long ago.
 func (s *State) updateOutdated(k *knownInstance) {
 	if outdated := s.isOutdated(k); outdated != k.outdated {
--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -68,7 +68,8 @@
 	fence     uint64
 	version   int64
 	renewedAt time.Time
-	// seenVersion is the version last seen and seenAt since when. lastRead is the content last read.
+	// seenVersion is the version last seen and seenAt since when. lastRead is the content last
+	// read or announced.
 	seenVersion int64
 	seenAt      time.Time
 	lastRead    content
@@ -76,8 +77,8 @@
 	sequence uint64
 	note     json.RawMessage
 	// takeoverPending is set once a write that takes the lease over from another holder has
-	// been sent. takenOverAt is when such a write is known to have succeeded, zero if none
-	// has. takenOverNote is the last note of the previous holder.
+	// been sent. takenOverAt is when such a write is known to have succeeded; it is zero if none
+	// has, as when the lease was free. takenOverNote is the last note of the previous holder.
 	takeoverPending bool
 	takenOverAt     time.Time
 	takenOverNote   json.RawMessage
@@ -242,17 +243,17 @@
 	if err != nil && !errors.Is(err, objectapi.ErrNotFound) {
 		return err
 	}
-	before := l.applyRead(o)
-	own := before.Holder == l.cfg.Holder
-	if !l.hasExpired(o.Version, began) && !own {
+	previous := l.applyRead(o)
+	isOwn := previous.Holder == l.cfg.Holder
+	if !l.hasExpired(o.Version, began) && !isOwn {
 		return ErrNotHeld
 	}
 	value, err := l.nextValue()
 	if err != nil {
 		return err
 	}
-	if before.Holder != "" && !own {
-		l.recordTakeover(before.Note)
+	if previous.Holder != "" && !isOwn {
+		l.recordTakeover(previous.Note)
 	}
 	o, err = l.api.Put(ctx, l.cfg.Key, value, o.Version)
 	if err != nil {
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -167,9 +167,10 @@
 
 // TestObserveRenewal lets a candidate learn of renewals from the holder instead of the store.
 //
-// An announced renewal counts as seen: the lease expires a whole term after the last announcement,
-// not after the candidate's last read. A delayed or repeated announcement does not postpone that. A
-// process that considers itself the holder gives the lease up when it learns of a later holder.
+// An announced renewal counts as seen: the lease expires a whole term after the last
+// announcement, not after the candidate's last read. A delayed or repeated announcement does
+// not postpone that. A process that considers itself the holder gives the lease up when it
+// learns of a later holder.
 func TestObserveRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.New()
