--- a/internal/coordination/discovery/state.go
+++ b/internal/coordination/discovery/state.go
@@ -369,7 +369,8 @@
 	}
 }
 
-// ReplaceInstances records a complete list of instances and removes those not in it.
+// ReplaceInstances records a complete list of instances. Those not in it are handled as by
+// Remove.
 func (s *State) ReplaceInstances(list []Instance, storeWasAway bool, now time.Time) {
 	present := make(map[string]bool, len(list))
 	for _, i := range list {
