--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -50,7 +50,7 @@
 
 type batch struct {
 	first, count uint64
-	minted       time.Time
+	issuedAt     time.Time
 }
 
 // Ledger keeps the records of one incarnation; safe for concurrent use.
@@ -58,16 +58,16 @@
 	cfg         Config
 	incarnation uint64
 
-	mu      sync.Mutex
-	next    uint64
-	batches []batch
-	records map[uint64]*Record
-	used    int64
+	mu           sync.Mutex
+	nextSequence uint64
+	batches      []batch
+	records      map[uint64]*Record
+	usedBytes    int64
 }
 
 // New returns an empty ledger.
 func New(cfg Config, incarnation uint64) *Ledger {
-	return &Ledger{cfg: cfg, incarnation: incarnation, next: 1, records: map[uint64]*Record{}}
+	return &Ledger{cfg: cfg, incarnation: incarnation, nextSequence: 1, records: map[uint64]*Record{}}
 }
 
 // Incarnation names the process that holds the records.
@@ -83,14 +83,14 @@
 	l.expire(now)
 	outstanding := uint64(0)
 	if len(l.batches) > 0 {
-		outstanding = l.next - l.batches[0].first
+		outstanding = l.nextSequence - l.batches[0].first
 	}
 	if outstanding+uint64(count) > uint64(l.cfg.MaxTickets) {
 		return 0, ErrFull
 	}
-	first = l.next
-	l.next += uint64(count)
-	l.batches = append(l.batches, batch{first: first, count: uint64(count), minted: now})
+	first = l.nextSequence
+	l.nextSequence += uint64(count)
+	l.batches = append(l.batches, batch{first: first, count: uint64(count), issuedAt: now})
 	return first, nil
 }
 
@@ -100,12 +100,12 @@
 func (l *Ledger) expire(now time.Time) {
 	for len(l.batches) > 0 {
 		b := l.batches[0]
-		if now.Sub(b.minted) <= l.cfg.TicketTTL+l.cfg.Retention {
+		if now.Sub(b.issuedAt) <= l.cfg.TicketTTL+l.cfg.Retention {
 			return
 		}
 		for seq := b.first; seq < b.first+b.count; seq++ {
 			if r, ok := l.records[seq]; ok && r.done {
-				l.used -= r.reserved
+				l.usedBytes -= r.reservedBytes
 				delete(l.records, seq)
 			}
 		}
@@ -113,7 +113,7 @@
 	}
 }
 
-func (l *Ledger) batchOf(sequence uint64) (batch, bool) {
+func (l *Ledger) batchWith(sequence uint64) (batch, bool) {
 	for _, b := range l.batches {
 		if sequence >= b.first && sequence < b.first+b.count {
 			return b, true
@@ -138,21 +138,21 @@
 		}
 		return r, false, nil
 	}
-	b, ok := l.batchOf(sequence)
+	b, ok := l.batchWith(sequence)
 	switch {
 	case !ok:
 		return nil, false, ErrUnknownTicket
-	case now.Sub(b.minted) > l.cfg.TicketTTL:
+	case now.Sub(b.issuedAt) > l.cfg.TicketTTL:
 		return nil, false, ErrExpired
-	case l.used+l.cfg.MaxAnswerBytes > l.cfg.MaxBytes:
+	case l.usedBytes+l.cfg.MaxAnswerBytes > l.cfg.MaxBytes:
 		// Refusing new work is the only safe answer: dropping an older record
 		// would turn its next retry into a second run.
 		return nil, false, ErrFull
 	}
-	l.used += l.cfg.MaxAnswerBytes
+	l.usedBytes += l.cfg.MaxAnswerBytes
 	r = &Record{
 		ledger: l, sequence: sequence, customer: customer, digest: digest,
-		reserved: l.cfg.MaxAnswerBytes, changed: make(chan struct{}),
+		reservedBytes: l.cfg.MaxAnswerBytes, changed: make(chan struct{}),
 	}
 	l.records[sequence] = r
 	return r, true, nil
@@ -162,7 +162,7 @@
 func (l *Ledger) UsedBytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.used
+	return l.usedBytes
 }
 
 // Record is the one run of a ticket and its answer.
@@ -173,41 +173,41 @@
 	digest   []byte
 
 	// The fields below are guarded by the ledger's lock.
-	reserved  int64
-	events    []any
-	bytes     int64
-	followers int
-	cut       bool
-	done      bool
-	changed   chan struct{}
+	reservedBytes int64
+	events        []any
+	answerBytes   int64
+	followers     int
+	discarded     bool
+	done          bool
+	changed       chan struct{}
 }
 
 // Append adds an event of size bytes.
 func (r *Record) Append(event any, size int) {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
-	if r.cut {
+	if r.discarded {
 		return
 	}
 	r.events = append(r.events, event)
-	r.bytes += int64(size)
-	if extra := r.bytes - r.reserved; extra > 0 {
-		r.reserved += extra
-		r.ledger.used += extra
+	r.answerBytes += int64(size)
+	if extra := r.answerBytes - r.reservedBytes; extra > 0 {
+		r.reservedBytes += extra
+		r.ledger.usedBytes += extra
 	}
-	r.trim()
+	r.discardIfTooLarge()
 	r.notify()
 }
 
-// trim drops an answer that is too large to keep once nobody is reading it: the
+// discardIfTooLarge drops an answer that is too large to keep once nobody is reading it: the
 // first caller still gets it whole, a later retry learns that it ran.
-func (r *Record) trim() {
-	if r.followers > 0 || r.bytes <= r.ledger.cfg.MaxAnswerBytes {
+func (r *Record) discardIfTooLarge() {
+	if r.followers > 0 || r.answerBytes <= r.ledger.cfg.MaxAnswerBytes {
 		return
 	}
-	r.events, r.bytes, r.cut = nil, 0, true
-	r.ledger.used -= r.reserved
-	r.reserved = 0
+	r.events, r.answerBytes, r.discarded = nil, 0, true
+	r.ledger.usedBytes -= r.reservedBytes
+	r.reservedBytes = 0
 }
 
 // Follow begins reading the record; call Unfollow at the end.
@@ -222,17 +222,17 @@
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
 	r.followers--
-	r.trim()
+	r.discardIfTooLarge()
 }
 
 // Finish ends the run; its answer stays for retries.
 func (r *Record) Finish() {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
-	r.ledger.used -= r.reserved - r.bytes
-	r.reserved = r.bytes
+	r.ledger.usedBytes -= r.reservedBytes - r.answerBytes
+	r.reservedBytes = r.answerBytes
 	r.done = true
-	r.trim()
+	r.discardIfTooLarge()
 	r.notify()
 }
 
@@ -241,8 +241,8 @@
 func (r *Record) Abandon() {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
-	r.ledger.used -= r.reserved
-	r.reserved = 0
+	r.ledger.usedBytes -= r.reservedBytes
+	r.reservedBytes = 0
 	r.done = true
 	delete(r.ledger.records, r.sequence)
 	r.notify()
@@ -255,8 +255,8 @@
 
 // EventsFrom returns the events after the first n, whether the run has ended, whether
 // the answer was not kept, and a channel closed at the next change.
-func (r *Record) EventsFrom(n int) (events []any, done, cut bool, changed <-chan struct{}) {
+func (r *Record) EventsFrom(n int) (events []any, done, discarded bool, changed <-chan struct{}) {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
-	return r.events[min(n, len(r.events)):], r.done, r.cut, r.changed
+	return r.events[min(n, len(r.events)):], r.done, r.discarded, r.changed
 }
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -11,9 +11,9 @@
 	"limpetwall/internal/state/ledger"
 )
 
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func small() ledger.Config {
+func smallConfig() ledger.Config {
 	return ledger.Config{TicketTTL: time.Minute, Retention: time.Hour, MaxTickets: 8, MaxBytes: 40, MaxAnswerBytes: 10}
 }
 
@@ -21,7 +21,7 @@
 	return l.Begin(l.Incarnation(), seq, customer, []byte(digest), now)
 }
 
-func TestRefusals(t *testing.T) {
+func TestBeginRefusals(t *testing.T) {
 	rows := []struct {
 		name string
 		// present presents a ticket in a way that must be refused.
@@ -29,44 +29,44 @@
 		want    error
 	}{
 		{"another incarnation", func(l *ledger.Ledger, first uint64) error {
-			_, _, err := l.Begin(l.Incarnation()+1, first, "c", nil, epoch)
+			_, _, err := l.Begin(l.Incarnation()+1, first, "c", nil, startTime)
 			return err
 		}, ledger.ErrUnknownTicket},
 		{"never minted", func(l *ledger.Ledger, first uint64) error {
-			_, _, err := begin(l, first+99, "c", "d", epoch)
+			_, _, err := begin(l, first+99, "c", "d", startTime)
 			return err
 		}, ledger.ErrUnknownTicket},
 		{"unused past its time", func(l *ledger.Ledger, first uint64) error {
-			_, _, err := begin(l, first, "c", "d", epoch.Add(2*time.Minute))
+			_, _, err := begin(l, first, "c", "d", startTime.Add(2*time.Minute))
 			return err
 		}, ledger.ErrExpired},
 		{"used, and its record is gone", func(l *ledger.Ledger, first uint64) error {
-			r, _, _ := begin(l, first, "c", "d", epoch)
+			r, _, _ := begin(l, first, "c", "d", startTime)
 			r.Finish()
-			_, _, err := begin(l, first, "c", "d", epoch.Add(2*time.Hour))
+			_, _, err := begin(l, first, "c", "d", startTime.Add(2*time.Hour))
 			return err
 		}, ledger.ErrUnknownTicket},
 		{"another customer", func(l *ledger.Ledger, first uint64) error {
-			begin(l, first, "c", "d", epoch)
-			_, _, err := begin(l, first, "other", "d", epoch)
+			begin(l, first, "c", "d", startTime)
+			_, _, err := begin(l, first, "other", "d", startTime)
 			return err
 		}, ledger.ErrRequestMismatch},
 		{"another request", func(l *ledger.Ledger, first uint64) error {
-			begin(l, first, "c", "d", epoch)
-			_, _, err := begin(l, first, "c", "e", epoch)
+			begin(l, first, "c", "d", startTime)
+			_, _, err := begin(l, first, "c", "e", startTime)
 			return err
 		}, ledger.ErrRequestMismatch},
 		{"no room for its answer", func(l *ledger.Ledger, first uint64) error {
 			for i := range uint64(4) {
-				begin(l, first+i, "c", "d", epoch)
+				begin(l, first+i, "c", "d", startTime)
 			}
-			_, _, err := begin(l, first+4, "c", "d", epoch)
+			_, _, err := begin(l, first+4, "c", "d", startTime)
 			return err
 		}, ledger.ErrFull},
 	}
 	for _, row := range rows {
-		l := ledger.New(small(), 7)
-		first, err := l.Issue(5, epoch)
+		l := ledger.New(smallConfig(), 7)
+		first, err := l.Issue(5, startTime)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,43 +76,43 @@
 	}
 }
 
-func TestMintIsBounded(t *testing.T) {
-	l := ledger.New(small(), 7)
-	if _, err := l.Issue(9, epoch); !errors.Is(err, ledger.ErrFull) {
+func TestIssueIsBounded(t *testing.T) {
+	l := ledger.New(smallConfig(), 7)
+	if _, err := l.Issue(9, startTime); !errors.Is(err, ledger.ErrFull) {
 		t.Errorf("beyond the bound: %v", err)
 	}
-	l.Issue(8, epoch)
-	if _, err := l.Issue(1, epoch); !errors.Is(err, ledger.ErrFull) {
+	l.Issue(8, startTime)
+	if _, err := l.Issue(1, startTime); !errors.Is(err, ledger.ErrFull) {
 		t.Errorf("at the bound: %v", err)
 	}
-	if _, err := l.Issue(1, epoch.Add(2*time.Hour)); err != nil {
+	if _, err := l.Issue(1, startTime.Add(2*time.Hour)); err != nil {
 		t.Errorf("after the old ones are void: %v", err)
 	}
 }
 
-// TestLargeAnswerReachesItsCaller appends more than is kept for retries.
+// TestLargeAnswerReachesCallerButIsNotRetained appends more than is kept for retries.
 //
 // The caller who started the run follows it and gets all of it. A retry after
 // that learns that the request ran, without the answer; it does not run again.
-func TestLargeAnswerReachesItsCaller(t *testing.T) {
-	l := ledger.New(small(), 7)
-	first, _ := l.Issue(1, epoch)
-	r, _, _ := begin(l, first, "c", "d", epoch)
+func TestLargeAnswerReachesCallerButIsNotRetained(t *testing.T) {
+	l := ledger.New(smallConfig(), 7)
+	first, _ := l.Issue(1, startTime)
+	r, _, _ := begin(l, first, "c", "d", startTime)
 	r.Follow()
 	for i := range 5 {
 		r.Append(i, 4)
 	}
 	r.Finish()
-	if events, done, cut, _ := r.EventsFrom(0); len(events) != 5 || !done || cut {
-		t.Errorf("caller: %d events, done %v, cut %v", len(events), done, cut)
+	if events, done, discarded, _ := r.EventsFrom(0); len(events) != 5 || !done || discarded {
+		t.Errorf("caller: %d events, done %v, cut %v", len(events), done, discarded)
 	}
 	r.Unfollow()
-	again, started, err := begin(l, first, "c", "d", epoch)
+	retried, started, err := begin(l, first, "c", "d", startTime)
 	if err != nil || started {
 		t.Fatalf("retry: started %v, %v", started, err)
 	}
-	if events, done, cut, _ := again.EventsFrom(0); len(events) != 0 || !done || !cut {
-		t.Errorf("retry: %d events, done %v, cut %v", len(events), done, cut)
+	if events, done, discarded, _ := retried.EventsFrom(0); len(events) != 0 || !done || !discarded {
+		t.Errorf("retry: %d events, done %v, cut %v", len(events), done, discarded)
 	}
 	if l.UsedBytes() != 0 {
 		t.Errorf("%d bytes still counted", l.UsedBytes())
@@ -128,11 +128,11 @@
 // only given to a request that has not run.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now := epoch
+		now := startTime
 		incarnation := uint64(1)
-		l := ledger.New(small(), incarnation)
-		type bound struct{ incarnation, sequence uint64 }
-		tickets := map[string]bound{}
+		l := ledger.New(smallConfig(), incarnation)
+		type ticketID struct{ incarnation, sequence uint64 }
+		tickets := map[string]ticketID{}
 		running := map[string]*ledger.Record{}
 		executed := map[string]int{}
 		request := rapid.SampledFrom([]string{"a", "b", "c", "d"})
@@ -143,7 +143,7 @@
 					return
 				}
 				if first, err := l.Issue(1, now); err == nil {
-					tickets[r] = bound{incarnation, first}
+					tickets[r] = ticketID{incarnation, first}
 				}
 			},
 			"send": func(t *rapid.T) {
@@ -182,7 +182,7 @@
 			},
 			"crash": func(*rapid.T) {
 				incarnation++
-				l = ledger.New(small(), incarnation)
+				l = ledger.New(smallConfig(), incarnation)
 				clear(running)
 			},
 			"wait": func(t *rapid.T) {
@@ -204,11 +204,11 @@
 
 func ExampleLedger() {
 	l := ledger.New(ledger.DefaultConfig(), 7)
-	first, _ := l.Issue(1, epoch)
-	record, started, _ := l.Begin(7, first, "donor", []byte("digest"), epoch)
+	first, _ := l.Issue(1, startTime)
+	record, started, _ := l.Begin(7, first, "donor", []byte("digest"), startTime)
 	fmt.Println(started)
 	record.Finish()
-	_, started, _ = l.Begin(7, first, "donor", []byte("digest"), epoch)
+	_, started, _ = l.Begin(7, first, "donor", []byte("digest"), startTime)
 	fmt.Println(started)
 	// Output:
 	// true
