--- a/internal/state/contextkey/contextkey.go
+++ b/internal/state/contextkey/contextkey.go
@@ -55,35 +55,35 @@
 // ChunkKeys returns the keys of the whole pieces of text, first to last. The rest of
 // the text that fills no piece has no key and is always computed.
 func ChunkKeys(scope Scope, text string) []Key {
-	pieces := len(text) / ChunkBytes
-	if pieces == 0 {
+	chunks := len(text) / ChunkBytes
+	if chunks == 0 {
 		return nil
 	}
-	keys := make([]Key, 0, pieces)
+	keys := make([]Key, 0, chunks)
 	mac := hmac.New(sha256.New, scope.Salt)
-	parent := scopeKey(mac, scope)
-	for i := range pieces {
+	parent := scopeHash(mac, scope)
+	for i := range chunks {
 		mac.Reset()
 		mac.Write(parent[:])
 		mac.Write([]byte(text[i*ChunkBytes : (i+1)*ChunkBytes]))
-		parent = sum(mac)
+		parent = truncatedSum(mac)
 		keys = append(keys, parent)
 	}
 	return keys
 }
 
-// scopeKey separates the fields by their lengths: without it ("ab","c") and
+// scopeHash separates the fields by their lengths: without it ("ab","c") and
 // ("a","bc") would share contexts.
-func scopeKey(mac hash.Hash, scope Scope) Key {
+func scopeHash(mac hash.Hash, scope Scope) Key {
 	for _, field := range []string{scope.Model, scope.WeightVersion, scope.Adapter} {
 		n := len(field)
 		mac.Write([]byte{byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)})
 		mac.Write([]byte(field))
 	}
-	return sum(mac)
+	return truncatedSum(mac)
 }
 
-func sum(mac hash.Hash) Key {
+func truncatedSum(mac hash.Hash) Key {
 	var full [sha256.Size]byte
 	var k Key
 	copy(k[:], mac.Sum(full[:0]))
--- a/internal/state/contextkey/contextkey_test.go
+++ b/internal/state/contextkey/contextkey_test.go
@@ -7,33 +7,33 @@
 	"limpetwall/internal/state/contextkey"
 )
 
-func TestKeysBindTheirScope(t *testing.T) {
+func TestKeysDependOnScopeAndPrefix(t *testing.T) {
 	text := strings.Repeat("x", 2*contextkey.ChunkBytes+1)
 	base := contextkey.Scope{Salt: []byte("a"), Model: "m", WeightVersion: "v1", Adapter: "l"}
-	first := contextkey.ChunkKeys(base, text)
-	if len(first) != 2 || first[0] == first[1] {
-		t.Fatalf("%d keys", len(first))
+	baseKeys := contextkey.ChunkKeys(base, text)
+	if len(baseKeys) != 2 || baseKeys[0] == baseKeys[1] {
+		t.Fatalf("%d keys", len(baseKeys))
 	}
-	others := map[string]contextkey.Scope{
+	otherScopes := map[string]contextkey.Scope{
 		"customer": {Salt: []byte("b"), Model: "m", WeightVersion: "v1", Adapter: "l"},
 		"model":    {Salt: []byte("a"), Model: "n", WeightVersion: "v1", Adapter: "l"},
 		"version":  {Salt: []byte("a"), Model: "m", WeightVersion: "v2", Adapter: "l"},
 		"adapter":  {Salt: []byte("a"), Model: "m", WeightVersion: "v1", Adapter: "k"},
 		"shifted":  {Salt: []byte("a"), Model: "mv", WeightVersion: "1", Adapter: "l"},
 	}
-	for name, scope := range others {
+	for name, scope := range otherScopes {
 		for i, key := range contextkey.ChunkKeys(scope, text) {
-			if key == first[i] {
+			if key == baseKeys[i] {
 				t.Errorf("another %s has the same key %d", name, i)
 			}
 		}
 	}
 	changed := contextkey.ChunkKeys(base, "y"+text[1:])
-	if changed[1] == first[1] {
+	if changed[1] == baseKeys[1] {
 		t.Error("a key does not depend on what precedes its piece")
 	}
 	longer := contextkey.ChunkKeys(base, text+strings.Repeat("z", contextkey.ChunkBytes))
-	if longer[1] != first[1] {
+	if longer[1] != baseKeys[1] {
 		t.Error("a key depends on what follows its piece")
 	}
 }
