--- a/internal/state/fingerprint/fingerprint_test.go
+++ b/internal/state/fingerprint/fingerprint_test.go
@@ -6,10 +6,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestEachFieldCounts guards against two requests that differ in one field only being taken for one.
-func TestEachFieldCounts(t *testing.T) {
+// TestEveryFieldChangesKey guards against two requests that differ in one field only being taken for one.
+func TestEveryFieldChangesKey(t *testing.T) {
 	base := Request{Customer: "a", Host: "h", Method: "GET", Target: "/x"}
-	rows := map[string]Key{
+	keys := map[string]Key{
 		"base":                       Of(base, []byte("body")),
 		"customer":                   Of(Request{Customer: "b", Host: "h", Method: "GET", Target: "/x"}, []byte("body")),
 		"no customer":                Of(Request{Host: "h", Method: "GET", Target: "/x"}, []byte("body")),
@@ -23,24 +23,24 @@
 		"body in target":             Of(Request{Customer: "a", Host: "h", Method: "GET", Target: "/xbody"}, nil),
 	}
 	seen := map[Key]string{}
-	for name, key := range rows {
-		if other, twice := seen[key]; twice {
+	for name, key := range keys {
+		if other, duplicate := seen[key]; duplicate {
 			t.Errorf("%q and %q have one fingerprint", name, other)
 		}
 		seen[key] = name
 	}
-	if Of(base, []byte("body")) != rows["base"] {
+	if Of(base, []byte("body")) != keys["base"] {
 		t.Error("the same request has two fingerprints")
 	}
 }
 
-// TestKeyIsReadBack guards against an operator's key naming another request than the one shown.
-func TestKeyIsReadBack(t *testing.T) {
+// TestParseRoundTrip guards against an operator's key naming another request than the one shown.
+func TestParseRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := Of(Request{Target: rapid.String().Draw(t, "target")}, nil)
-		back, ok := Parse(key.String())
-		if !ok || back != key {
-			t.Errorf("%s became %s, %v", key, back, ok)
+		parsed, ok := Parse(key.String())
+		if !ok || parsed != key {
+			t.Errorf("%s became %s, %v", key, parsed, ok)
 		}
 	})
 	for _, text := range []string{"", "zz", "00", "000102030405060708090a0b0c0d0e0f10"} {
