--- a/internal/state/blockseal/blockseal.go
+++ b/internal/state/blockseal/blockseal.go
@@ -19,11 +19,11 @@
 const (
 	magic      = 0x4c574b31 // "LWK1"
 	headerSize = 4 + contextkey.Size + 4
-	sealSize   = sha256.Size
+	macSize    = sha256.Size
 )
 
 // Overhead is the number of bytes that Seal adds.
-const Overhead = headerSize + sealSize
+const Overhead = headerSize + macSize
 
 // Seal frames content: magic, key, length, content, HMAC-SHA256 under the
 // customer's salt. The HMAC comes last, so a partly written block has none.
@@ -33,7 +33,7 @@
 	out = append(out, key[:]...)
 	out = binary.BigEndian.AppendUint32(out, uint32(len(content)))
 	out = append(out, content...)
-	return mac(salt, out).Sum(out)
+	return newMAC(salt, out).Sum(out)
 }
 
 // Open returns the content of a sealed block, or ErrBroken.
@@ -58,15 +58,15 @@
 		return nil, errors.Annotatef(ErrInvalidBlock, "length %d in %d bytes", length, len(sealed))
 	}
 	body := sealed[:headerSize+length]
-	if !hmac.Equal(mac(salt, body).Sum(nil), sealed[len(body):]) {
+	if !hmac.Equal(newMAC(salt, body).Sum(nil), sealed[len(body):]) {
 		return nil, errors.Annotate(ErrInvalidBlock, "checksum differs")
 	}
 	return body[headerSize:], nil
 }
 
-type summer interface{ Sum([]byte) []byte }
+type digest interface{ Sum([]byte) []byte }
 
-func mac(salt, data []byte) summer {
+func newMAC(salt, data []byte) digest {
 	h := hmac.New(sha256.New, salt)
 	h.Write(data)
 	return h
