--- a/internal/command/base.go
+++ b/internal/command/base.go
@@ -204,11 +204,11 @@
 		logger.Warn("connections between processes are plaintext", zap.String("listen", b.PeerListen))
 		return nil, nil, nil
 	}
-	source, err := tlsfiles.Open(b.PeerTLS)
+	source, err := tlsfiles.NewReloader(b.PeerTLS)
 	if err != nil {
 		return nil, nil, err
 	}
-	return source.Server(), source.Client(), nil
+	return source.ServerConfig(), source.ClientConfig(), nil
 }
 
 // start serves peers, joins the fleet and runs the spread duties. It returns
--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -165,11 +165,11 @@
 		logger.Warn("connections to callers are plaintext", zap.String("listen", s.Listen))
 		return server.Serve(listener)
 	}
-	source, err := tlsfiles.Open(s.TLS)
+	source, err := tlsfiles.NewReloader(s.TLS)
 	if err != nil {
 		return err
 	}
-	return server.ServeTLS(listener, source.Server())
+	return server.ServeTLS(listener, source.ServerConfig())
 }
 
 // drainEntry stops in an order that cuts nothing: readiness falls, the balancer
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -27,10 +27,10 @@
 	"limpetwall/internal/state/fleet"
 	"limpetwall/internal/state/routes"
 	"limpetwall/internal/transport/bootclock"
+	"limpetwall/internal/transport/boundedqueue"
 	"limpetwall/internal/transport/exposition"
 	"limpetwall/internal/transport/ingress"
 	"limpetwall/internal/transport/logging"
-	"limpetwall/internal/transport/ring"
 	"limpetwall/internal/transport/settings"
 	"limpetwall/internal/transport/upstream"
 	"limpetwall/platform"
@@ -96,7 +96,7 @@
 	}
 	// A process over its memory is killed: near that, collecting more often is better.
 	debug.SetMemoryLimit(int64(memoryPart * float64(read.MemoryBytes)))
-	out := logging.NewBounded(io.Out, logLines)
+	out := logging.NewAsyncWriter(io.Out, logLines)
 	logger := logging.New(out, level).With(zap.String("host", s.Platform.Host))
 	code := finish(logger, RunGateway(s, logger, io.Signals.watch()))
 	logger.Info("stopped", zap.Int("exit", code), zap.Int64("log_lines_dropped", out.Dropped()))
@@ -181,7 +181,7 @@
 	p.run(watcher.Run)
 	p.run(p.gateway.Guard.Run)
 	p.gateway.IsLeader = director.Leads
-	p.gateway.WeightQueries = ring.New[string](gateway.MaxWeightQueries)
+	p.gateway.WeightQueries = boundedqueue.New[string](gateway.MaxWeightQueries)
 	p.gateway.QueryWeights = func(ctx context.Context, i discovery.Instance) (gateway.EngineReport, error) {
 		report, err := engines.Report(ctx, i)
 		return gateway.EngineReport{Born: report.Born, Weights: report.Weights[i.Model]}, err
--- a/internal/coordination/contentreport/exchanger.go
+++ b/internal/coordination/contentreport/exchanger.go
@@ -11,7 +11,7 @@
 
 	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/transport/datagram"
-	"limpetwall/internal/transport/pause"
+	"limpetwall/internal/transport/sleep"
 )
 
 // sendInterval is the time between two rounds of reports. A store's contents are used for one
@@ -28,7 +28,7 @@
 // Exchanger sends this process's reports to the other processes of its failure domain and applies
 // theirs. Its fields are set before Run.
 type Exchanger struct {
-	Group *datagram.Group
+	Group *datagram.Socket
 	// Hosts lists the other processes of the failure domain.
 	Hosts   func() []netip.Addr
 	Tracker Tracker
@@ -39,7 +39,7 @@
 func (e *Exchanger) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	workers.Go(func() { e.Group.Receive(ctx, e.receive) })
-	for pause.For(ctx, sendInterval) {
+	for sleep.For(ctx, sendInterval) {
 		e.send()
 	}
 	workers.Wait()
--- a/internal/coordination/contextcache/engines.go
+++ b/internal/coordination/contextcache/engines.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 
 	"limpetwall/internal/state/routes"
-	"limpetwall/internal/transport/pause"
+	"limpetwall/internal/transport/sleep"
 )
 
 const (
@@ -186,7 +186,7 @@
 // engine's contents, as that would stall the engine.
 func (t *Tracker) followEngine(ctx context.Context, address string) {
 	next := t.firstEngineEvent(address)
-	if !pause.For(ctx, time.Duration(rand.Int64N(int64(startSpread)))) {
+	if !sleep.For(ctx, time.Duration(rand.Int64N(int64(startSpread)))) {
 		return
 	}
 	p := pollPace{maxWait: engineWait}
@@ -204,7 +204,7 @@
 			return
 		}
 		p.saturated = p.saturated || errors.Is(err, ErrTooManyCalls)
-		if wait := t.handleEngineFailure(address, err); wait > 0 && !pause.For(ctx, pause.Jitter(wait)) {
+		if wait := t.handleEngineFailure(address, err); wait > 0 && !sleep.For(ctx, sleep.Jitter(wait)) {
 			return
 		}
 	}
--- a/internal/coordination/contextcache/polling.go
+++ b/internal/coordination/contextcache/polling.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"limpetwall/internal/transport/pause"
+	"limpetwall/internal/transport/sleep"
 )
 
 const (
@@ -54,5 +54,5 @@
 	case p.calls%callsPerPause != 0:
 		return ctx.Err() == nil
 	}
-	return pause.For(ctx, pause.Jitter(mean))
+	return sleep.For(ctx, sleep.Jitter(mean))
 }
--- a/internal/coordination/contextcache/reports_test.go
+++ b/internal/coordination/contextcache/reports_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 
 	"limpetwall/internal/state/routes"
-	"limpetwall/internal/transport/pause"
+	"limpetwall/internal/transport/sleep"
 )
 
 // testDomain is a failure domain whose processes report to each other what they follow.
@@ -51,7 +51,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done.Go(func() {
-		for pause.For(ctx, 200*time.Millisecond) {
+		for sleep.For(ctx, 200*time.Millisecond) {
 			d.exchangeReports()
 		}
 	})
--- a/internal/coordination/contextcache/tracker.go
+++ b/internal/coordination/contextcache/tracker.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"limpetwall/internal/state/routes"
-	"limpetwall/internal/transport/pause"
+	"limpetwall/internal/transport/sleep"
 )
 
 // Client calls stores and engines. Engines are only asked for events.
@@ -159,7 +159,7 @@
 	for ctx.Err() == nil {
 		if err := t.followOnce(ctx, address); err != nil && ctx.Err() == nil {
 			t.markUnreachable(address, err)
-			pause.For(ctx, storeRetryDelay)
+			sleep.For(ctx, storeRetryDelay)
 		}
 	}
 }
--- a/internal/coordination/contextcache/tracker_test.go
+++ b/internal/coordination/contextcache/tracker_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 
 	"limpetwall/internal/state/routes"
-	"limpetwall/internal/transport/pause"
+	"limpetwall/internal/transport/sleep"
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -248,7 +248,7 @@
 }
 
 func (f *fakeClient) Events(ctx context.Context, _ string, since int64, wait time.Duration) (Events, error) {
-	if !pause.For(ctx, wait) {
+	if !sleep.For(ctx, wait) {
 		return Events{}, ctx.Err()
 	}
 	f.mu.Lock()
--- a/internal/coordination/contexttransfer/mover.go
+++ b/internal/coordination/contexttransfer/mover.go
@@ -12,9 +12,9 @@
 	"limpetwall/internal/state/blockseal"
 	"limpetwall/internal/state/config"
 	"limpetwall/internal/state/contextkey"
+	"limpetwall/internal/transport/boundedqueue"
 	"limpetwall/internal/transport/engine"
 	"limpetwall/internal/transport/kvstore"
-	"limpetwall/internal/transport/ring"
 )
 
 const (
@@ -39,7 +39,7 @@
 	agents    func() int
 	log       *zap.Logger
 	metrics   metrics.Registry
-	exports   *ring.Ring[export]
+	exports   *boundedqueue.Queue[export]
 
 	mu         sync.Mutex
 	remoteByID map[string]*remote
@@ -72,7 +72,7 @@
 func NewMover(eng engine.Engine, open OpenStore, store *config.Store, agents func() int, logger *zap.Logger, registry metrics.Registry) *Mover {
 	return &Mover{
 		engine: eng, openStore: open, config: store, agents: agents, log: logger, metrics: registry,
-		exports: ring.New[export](exportQueueSize), remoteByID: map[string]*remote{}, residency: NewResidency(),
+		exports: boundedqueue.New[export](exportQueueSize), remoteByID: map[string]*remote{}, residency: NewResidency(),
 		returnRate: newReturnTracker(maxSeenContexts), stored: map[contextkey.Key]bool{}, hitRate: 0.5,
 	}
 }
--- a/internal/coordination/discovery/watcher.go
+++ b/internal/coordination/discovery/watcher.go
@@ -11,7 +11,7 @@
 
 	"limpetwall/internal/state/routes"
 	"limpetwall/internal/transport/objectapi"
-	"limpetwall/internal/transport/pause"
+	"limpetwall/internal/transport/sleep"
 )
 
 // Kinds names the kinds of objects in the store.
@@ -415,7 +415,7 @@
 // runExpiry regularly drops the instances whose expired entries did not come back in time.
 func (w *Watcher) runExpiry(ctx context.Context) {
 	const interval = 100 * time.Millisecond
-	for pause.For(ctx, interval) {
+	for sleep.For(ctx, interval) {
 		if recovered, reachable := w.instancesReachableSince(); reachable {
 			w.State.Expire(time.Now(), recovered)
 		}
--- a/internal/coordination/gateway/bench_test.go
+++ b/internal/coordination/gateway/bench_test.go
@@ -53,7 +53,7 @@
 func newBenchGateway(b *testing.B, kind routes.Kind, answer func(c net.Conn, r *http.Request)) *Gateway {
 	t := &testing.T{}
 	s := newTestServer(t, singleRoute(kind, 1))
-	out := logging.NewBounded(io.Discard, 4096)
+	out := logging.NewAsyncWriter(io.Discard, 4096)
 	b.Cleanup(func() { out.Close(time.Second) })
 	s.gateway.Log = logging.New(out, zap.InfoLevel)
 	s.gateway.State.SetInstance(discovery.Instance{ID: "i", Revision: 9, Service: "s", Address: newKeepAliveEndpoint(b, answer), Domain: "a", Slots: 4})
--- a/internal/coordination/gateway/gateway.go
+++ b/internal/coordination/gateway/gateway.go
@@ -24,8 +24,8 @@
 	"limpetwall/internal/protocol/receipt"
 	"limpetwall/internal/state/fingerprint"
 	"limpetwall/internal/state/routes"
+	"limpetwall/internal/transport/boundedqueue"
 	"limpetwall/internal/transport/ingress"
-	"limpetwall/internal/transport/ring"
 	"limpetwall/internal/transport/upstream"
 )
 
@@ -61,7 +61,7 @@
 	ContextTracker *contextcache.Tracker
 	// WeightQueries holds the IDs of the engines that RunWeightQueries asks for their weights
 	// with QueryWeights. If nil, none is asked.
-	WeightQueries *ring.Ring[string]
+	WeightQueries *boundedqueue.Queue[string]
 	QueryWeights  QueryWeightsFunc
 	// Copier copies running requests between engines. If nil, none is moved.
 	Copier RunCopier
--- a/internal/coordination/gateway/relocate.go
+++ b/internal/coordination/gateway/relocate.go
@@ -12,7 +12,7 @@
 	"limpetwall/internal/coordination/discovery"
 	"limpetwall/internal/coordination/routing"
 	"limpetwall/internal/state/config"
-	"limpetwall/internal/transport/pause"
+	"limpetwall/internal/transport/sleep"
 	"limpetwall/internal/transport/upstream"
 )
 
@@ -108,10 +108,10 @@
 		case <-ctx.Done():
 			return
 		}
-		if !pause.For(ctx, relocationDelay) || !r.hasOutput.Load() {
+		if !sleep.For(ctx, relocationDelay) || !r.hasOutput.Load() {
 			return
 		}
-		if r.next = x.relocate(ctx, r, c); r.next != nil && pause.For(ctx, streamCloseTimeout) {
+		if r.next = x.relocate(ctx, r, c); r.next != nil && sleep.For(ctx, streamCloseTimeout) {
 			cut()
 		}
 	}()
--- a/internal/coordination/gateway/weights_test.go
+++ b/internal/coordination/gateway/weights_test.go
@@ -14,7 +14,7 @@
 	"limpetwall/internal/coordination/contextcache"
 	"limpetwall/internal/coordination/discovery"
 	"limpetwall/internal/state/routes"
-	"limpetwall/internal/transport/ring"
+	"limpetwall/internal/transport/boundedqueue"
 )
 
 // newContextTracker returns a tracker that knows no store.
@@ -67,7 +67,7 @@
 	s.gateway.State.SetRoutes(routes.New(2, 10, list, []routes.Service{{Name: "s", Engine: &routes.Engine{Slots: 4}}},
 		[]routes.Customer{{Name: "club", Keys: []string{"key"}}}, routes.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20}))
 	s.gateway.ContextTracker = newContextTracker()
-	s.gateway.WeightQueries = ring.New[string](MaxWeightQueries)
+	s.gateway.WeightQueries = boundedqueue.New[string](MaxWeightQueries)
 	queried := make(chan string, MaxWeightQueries)
 	s.gateway.QueryWeights = func(_ context.Context, i discovery.Instance) (EngineReport, error) {
 		queried <- i.ID
--- a/internal/coordination/gossip/node.go
+++ b/internal/coordination/gossip/node.go
@@ -16,9 +16,9 @@
 	"limpetwall/internal/protocol/wire"
 	"limpetwall/internal/state/config"
 	"limpetwall/internal/state/fleet"
+	"limpetwall/internal/transport/boundedqueue"
 	"limpetwall/internal/transport/hostlist"
-	"limpetwall/internal/transport/pause"
-	"limpetwall/internal/transport/ring"
+	"limpetwall/internal/transport/sleep"
 )
 
 // ErrNoConfigSource tells that neither the platform nor a peer gave the configuration.
@@ -103,8 +103,8 @@
 	// tellQuarantines tells that a peer's quarantines differ from this process's.
 	tellQuarantines atomic.Bool
 	// news wakes the push duty; one waiting wake-up is enough.
-	news   *ring.Ring[struct{}]
-	repair *ring.Ring[repairJob]
+	news   *boundedqueue.Queue[struct{}]
+	repair *boundedqueue.Queue[repairJob]
 
 	// calls are the exchanges underway; Run waits for them.
 	calls sync.WaitGroup
@@ -136,7 +136,7 @@
 func New(cfg Config, table *fleet.Table, store *config.Store, log *configlog.Log, hosts hostlist.List, peers Peers, logger *zap.Logger) *Node {
 	return &Node{
 		cfg: cfg, table: table, store: store, log: log, hosts: hosts, peers: peers, zap: logger, book: quarantine.NewTracker(),
-		news: ring.New[struct{}](1), repair: ring.New[repairJob](16), mismatches: map[string]int{},
+		news: boundedqueue.New[struct{}](1), repair: boundedqueue.New[repairJob](16), mismatches: map[string]int{},
 	}
 }
 
@@ -178,7 +178,7 @@
 }
 
 func (n *Node) probeDuty(ctx context.Context) {
-	for pause.For(ctx, jitter(n.cfg.ProbeInterval)) {
+	for sleep.For(ctx, jitter(n.cfg.ProbeInterval)) {
 		if target, ok := n.probeTarget(); ok {
 			// A slow answer must not delay the next probe: with it, one dead
 			// successor would hide the death of another.
@@ -257,7 +257,7 @@
 			n.calls.Go(func() { n.exchange(ctx, m.ID, m.Address) })
 		}
 		// News that arrives in a burst goes out together.
-		if !pause.For(ctx, 50*time.Millisecond) {
+		if !sleep.For(ctx, 50*time.Millisecond) {
 			return
 		}
 	}
@@ -271,7 +271,7 @@
 			Incarnation: self.Incarnation, Version: version,
 			Load: load(), Revision: n.store.View().Revision, At: time.Now(),
 		})
-		if !pause.For(ctx, jitter(n.reportPeriod())) {
+		if !sleep.For(ctx, jitter(n.reportPeriod())) {
 			return
 		}
 	}
@@ -416,7 +416,7 @@
 }
 
 func (n *Node) expireDuty(ctx context.Context) {
-	for pause.For(ctx, n.cfg.ProbeInterval/2) {
+	for sleep.For(ctx, n.cfg.ProbeInterval/2) {
 		for _, m := range n.table.Expire(time.Now()) {
 			n.zap.Info("member dead", zap.String("member", m.ID), zap.String("host", m.Host))
 			n.Announce()
@@ -428,7 +428,7 @@
 // sides hold the other for dead and would never speak again by themselves; one
 // exchange lets the member refute, and the news spreads from there.
 func (n *Node) reconnectDuty(ctx context.Context) {
-	for pause.For(ctx, jitter(n.cfg.ReconnectInterval)) {
+	for sleep.For(ctx, jitter(n.cfg.ReconnectInterval)) {
 		dead := n.table.DeadMembers()
 		if len(dead) > 0 {
 			m := dead[rand.IntN(len(dead))]
@@ -441,7 +441,7 @@
 // host list may have lagged or named only hosts that are gone.
 func (n *Node) joinDuty(ctx context.Context) {
 	const every = time.Second
-	for pause.For(ctx, jitter(every)) {
+	for sleep.For(ctx, jitter(every)) {
 		if n.table.Size() == 1 && n.join(ctx) {
 			n.Announce()
 		}
--- a/internal/coordination/gossip/platform.go
+++ b/internal/coordination/gossip/platform.go
@@ -12,7 +12,7 @@
 	"limpetwall/internal/state/config"
 	"limpetwall/internal/state/fleet"
 	"limpetwall/internal/transport/hostlist"
-	"limpetwall/internal/transport/pause"
+	"limpetwall/internal/transport/sleep"
 )
 
 func (n *Node) isWatcher() bool {
@@ -33,7 +33,7 @@
 	failures := 0
 	for ctx.Err() == nil {
 		if !n.isWatcher() {
-			if !pause.For(ctx, n.rescueWait()) {
+			if !sleep.For(ctx, n.rescueWait()) {
 				return
 			}
 			if n.isWatcher() || n.platformAge() < n.cfg.PlatformStaleAfter {
@@ -43,7 +43,7 @@
 		next, err := n.readHead(ctx, head)
 		if err != nil {
 			failures++
-			if !pause.For(ctx, backoff(failures)) {
+			if !sleep.For(ctx, backoff(failures)) {
 				return
 			}
 			continue
@@ -94,7 +94,7 @@
 // hostsDuty reads the host list while this process is a watcher and spreads
 // which hosts are leaving.
 func (n *Node) hostsDuty(ctx context.Context) {
-	for pause.For(ctx, jitter(n.cfg.HostListInterval)) {
+	for sleep.For(ctx, jitter(n.cfg.HostListInterval)) {
 		if n.hosts == nil || !n.isWatcher() {
 			continue
 		}
@@ -231,7 +231,7 @@
 			return
 		}
 		n.repairFrom(ctx, job)
-		if !pause.For(ctx, jitter(200*time.Millisecond)) {
+		if !sleep.For(ctx, jitter(200*time.Millisecond)) {
 			return
 		}
 	}
--- a/internal/coordination/idempotency/binder.go
+++ b/internal/coordination/idempotency/binder.go
@@ -7,8 +7,8 @@
 
 	"github.com/juju/errors"
 
+	"limpetwall/internal/transport/boundedqueue"
 	"limpetwall/internal/transport/objectapi"
-	"limpetwall/internal/transport/ring"
 )
 
 // Errors of Binder.Bind. In all of these cases the request did not run, since it
@@ -62,12 +62,12 @@
 type Binder struct {
 	cfg   Config
 	api   objectapi.API
-	queue *ring.Ring[bindRequest]
+	queue *boundedqueue.Queue[bindRequest]
 }
 
 // NewBinder returns a binder; Run must run for it to answer.
 func NewBinder(cfg Config, api objectapi.API) *Binder {
-	return &Binder{cfg: cfg, api: api, queue: ring.New[bindRequest](cfg.MaxWaiting)}
+	return &Binder{cfg: cfg, api: api, queue: boundedqueue.New[bindRequest](cfg.MaxWaiting)}
 }
 
 // Bind binds key to the proposed ticket, or returns the ticket that it is
--- a/internal/coordination/leasenotice/broadcaster.go
+++ b/internal/coordination/leasenotice/broadcaster.go
@@ -34,7 +34,7 @@
 // Broadcaster sends lease notices to the other processes and receives theirs. Its fields
 // must be set before Run.
 type Broadcaster struct {
-	Group *datagram.Group
+	Group *datagram.Socket
 	// Hosts lists the other processes.
 	Hosts func() []netip.Addr
 	// OnNotice is called with each notice received.
--- a/internal/coordination/loadreport/exchanger.go
+++ b/internal/coordination/loadreport/exchanger.go
@@ -15,7 +15,7 @@
 	"limpetwall/internal/coordination/routing"
 	"limpetwall/internal/transport/datagram"
 	"limpetwall/internal/transport/objectapi"
-	"limpetwall/internal/transport/pause"
+	"limpetwall/internal/transport/sleep"
 )
 
 const (
@@ -207,7 +207,7 @@
 
 // receive handles reports until the connection is closed.
 func (e *Exchanger) receive() {
-	datagram.Each(e.Conn, func(data []byte, from net.Addr) {
+	datagram.ReadLoop(e.Conn, func(data []byte, from net.Addr) {
 		report, err := decode(data)
 		if err != nil {
 			e.Log.Warn("failed to decode a load report", zap.Stringer("from", from), zap.Error(err))
@@ -256,7 +256,7 @@
 		} else {
 			wait, next = next, registryInterval
 		}
-		pause.For(ctx, pause.Jitter(wait))
+		sleep.For(ctx, sleep.Jitter(wait))
 	}
 }
 
--- a/internal/coordination/loadreport/exchanger_test.go
+++ b/internal/coordination/loadreport/exchanger_test.go
@@ -107,7 +107,7 @@
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(number)}), 7701)
 	d := &fakeDirectory{reports: map[uint64]routing.PeerReport{}, own: []routing.Work{{Endpoint: uint32(number), Running: 1}}}
 	s := &Exchanger{
-		Conn: f.network.Open(address), Address: address, Domain: domain, Incarnation: uint64(number),
+		Conn: f.network.Listen(address), Address: address, Domain: domain, Incarnation: uint64(number),
 		Directory: d, Registry: f.registry, Log: zap.NewNop(),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -193,7 +193,7 @@
 			processes = append(processes, f.start(t, n, fmt.Sprint("d", n%2)))
 		}
 		time.Sleep(20 * time.Second)
-		f.network.Sent()
+		f.network.SentSinceLastCall()
 		for _, m := range processes {
 			m.reset()
 		}
@@ -204,7 +204,7 @@
 				t.Errorf("process %d got reports from %v, want from the 5 others of its domain", i+1, got)
 			}
 		}
-		sent, _ := f.network.Sent()
+		sent, _ := f.network.SentSinceLastCall()
 		// The window may include a round at each of its ends.
 		if rounds := seconds*int(time.Second/reportInterval) + 1; sent > 12*fanout*rounds {
 			t.Errorf("got %d reports in %d rounds of 12 processes, want at most fanout a process and round", sent, rounds)
@@ -251,8 +251,8 @@
 		f := newTestFleet()
 		one, two, lost := f.start(t, 1, "a"), f.start(t, 2, "a"), f.start(t, 3, "a")
 		time.Sleep(10 * time.Second)
-		f.network.Cut(lost.address, true)
-		f.network.Cut(two.address, true)
+		f.network.SetIsolated(lost.address, true)
+		f.network.SetIsolated(two.address, true)
 		lost.stop()
 		time.Sleep(5 * time.Minute)
 		list, err := f.registry.List(t.Context(), registryPrefix)
@@ -264,7 +264,7 @@
 				t.Error("the lost process is still in the registry")
 			}
 		}
-		f.network.Cut(two.address, false)
+		f.network.SetIsolated(two.address, false)
 		one.reset()
 		time.Sleep(5 * time.Minute)
 		if got := one.senders(); !slices.Contains(got, 2) {
--- a/internal/coordination/quarantine/guard.go
+++ b/internal/coordination/quarantine/guard.go
@@ -13,7 +13,7 @@
 	"limpetwall/internal/protocol/apierror"
 	"limpetwall/internal/state/fingerprint"
 	"limpetwall/internal/transport/objectapi"
-	"limpetwall/internal/transport/pause"
+	"limpetwall/internal/transport/sleep"
 )
 
 const (
@@ -189,7 +189,7 @@
 		return 0, false
 	}
 	g.loggedDigest = digest
-	wait = pause.Jitter(activeSyncInterval)
+	wait = sleep.Jitter(activeSyncInterval)
 	levels := map[fingerprint.Key]uint32{}
 	inForce := int64(0)
 	for _, r := range g.Quarantines.DurableRecords() {
@@ -226,12 +226,12 @@
 func (g *Guard) syncOnce(ctx context.Context) time.Duration {
 	if err := g.sync(ctx); err != nil {
 		g.Log.Info("failed to sync quarantines with the store", zap.Error(err))
-		return pause.Jitter(syncRetryDelay)
+		return sleep.Jitter(syncRetryDelay)
 	}
 	if len(g.Quarantines.DurableRecords()) == 0 {
-		return pause.Jitter(idleSyncInterval)
+		return sleep.Jitter(idleSyncInterval)
 	}
-	return pause.Jitter(min(idleSyncInterval, activeSyncInterval*time.Duration(max(1, g.Processes()/processesPerSync))))
+	return sleep.Jitter(min(idleSyncInterval, activeSyncInterval*time.Duration(max(1, g.Processes()/processesPerSync))))
 }
 
 // sync merges the stored list into the tracker, and writes what the list lacks.
--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"limpetwall/internal/state/fingerprint"
-	"limpetwall/internal/transport/pause"
+	"limpetwall/internal/transport/sleep"
 )
 
 // maxRecords bounds the tracker's memory to about 1 MB.
@@ -247,7 +247,7 @@
 
 // RunExpiry removes what has expired until ctx ends, in a process that only passes records on.
 func (t *Tracker) RunExpiry(ctx context.Context, now func() time.Time) {
-	for pause.For(ctx, evaluationInterval) {
+	for sleep.For(ctx, evaluationInterval) {
 		t.mu.Lock()
 		t.removeExpired(now())
 		t.mu.Unlock()
--- a/internal/coordination/quarantinegossip/exchanger.go
+++ b/internal/coordination/quarantinegossip/exchanger.go
@@ -52,7 +52,7 @@
 
 // Exchanger exchanges crash records with other processes. Its fields are set before Run.
 type Exchanger struct {
-	Group *datagram.Group
+	Group *datagram.Socket
 	// Hosts lists the other processes, of all failure domains: callers may turn to any of them.
 	Hosts       func() []netip.Addr
 	Quarantines *quarantine.Tracker
--- a/internal/coordination/quarantinegossip/exchanger_test.go
+++ b/internal/coordination/quarantinegossip/exchanger_test.go
@@ -19,7 +19,7 @@
 	"limpetwall/internal/state/fingerprint"
 	"limpetwall/internal/transport/datagram"
 	"limpetwall/internal/transport/datagram/datagramtest"
-	"limpetwall/internal/transport/pause"
+	"limpetwall/internal/transport/sleep"
 )
 
 const (
@@ -75,7 +75,7 @@
 		}
 	}
 	e := &Exchanger{
-		Group: &datagram.Group{Conn: f.network.Open(f.address(n)), Port: port}, Quarantines: tracker, Now: time.Now, Log: zap.NewNop(),
+		Group: &datagram.Socket{Conn: f.network.Listen(f.address(n)), Port: port}, Quarantines: tracker, Now: time.Now, Log: zap.NewNop(),
 		Hosts: func() []netip.Addr { return append([]netip.Addr(nil), others...) },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -96,7 +96,7 @@
 // evaluate makes verdicts final in time, as the guard does. Otherwise, a process that only received the evidence
 // would date a quarantine from the next Evaluate call that the test makes there.
 func evaluate(ctx context.Context, tracker *quarantine.Tracker) {
-	for pause.For(ctx, 250*time.Millisecond) {
+	for sleep.For(ctx, 250*time.Millisecond) {
 		tracker.Evaluate(time.Now())
 	}
 }
@@ -113,7 +113,7 @@
 // sendRate returns the mean bytes a second that each process has sent since the last look at the network's
 // counters, headers included.
 func (f *fleet) sendRate(passed time.Duration) float64 {
-	datagrams, bytes := f.network.Sent()
+	datagrams, bytes := f.network.SentSinceLastCall()
 	return float64(bytes+headerBytes*datagrams) / float64(len(f.hosts)) / passed.Seconds()
 }
 
@@ -146,9 +146,9 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, size)
-				f.network.Lose(1. / 3)
+				f.network.SetLoss(1. / 3)
 				time.Sleep(time.Minute)
-				f.network.Sent()
+				f.network.SentSinceLastCall()
 				for crash := range uint64(3) {
 					f.trackers[int(crash)%size].RecordCrash(keyOf(1), crash, quarantine.RequestInfo{}, time.Now())
 				}
@@ -174,12 +174,12 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, size)
-				f.network.Lose(1. / 3)
+				f.network.SetLoss(1. / 3)
 				f.kill(1)
-				f.network.Cut(f.address(size-1), size > 2)
+				f.network.SetIsolated(f.address(size-1), size > 2)
 				f.quarantine(0, keyOf(1))
 				time.Sleep(time.Minute)
-				f.network.Cut(f.address(size-1), false)
+				f.network.SetIsolated(f.address(size-1), false)
 				f.start(t, 1)
 				time.Sleep(maxDelay)
 				if n := f.countUnaware(keyOf(1)); n > 0 {
@@ -279,10 +279,10 @@
 		f := newFleet(t, 12)
 		f.quarantine(0, keyOf(1))
 		time.Sleep(maxDelay)
-		f.network.Cut(f.address(11), true)
+		f.network.SetIsolated(f.address(11), true)
 		f.trackers[5].Lift(keyOf(1), time.Now())
 		time.Sleep(time.Minute)
-		f.network.Cut(f.address(11), false)
+		f.network.SetIsolated(f.address(11), false)
 		time.Sleep(maxDelay)
 		if n := f.countUnaware(keyOf(1)); n != 12 {
 			t.Errorf("%d of 12 processes would run the request, want all", n)
@@ -307,7 +307,7 @@
 		for i := range 3000 {
 			f.trackers[i%size].RecordCrash(keyOf(1000+i), uint64(1_000_000+i%10), quarantine.RequestInfo{}, time.Now())
 		}
-		f.network.Sent()
+		f.network.SentSinceLastCall()
 		time.Sleep(maxDelay)
 		f.quarantine(3, keyOf(1))
 		time.Sleep(maxDelay)
@@ -338,7 +338,7 @@
 			f.trackers[i%size].RecordCrash(keyOf(i), uint64(i%10), quarantine.RequestInfo{}, time.Now())
 		}
 		time.Sleep(time.Minute)
-		f.network.Sent()
+		f.network.SentSinceLastCall()
 		time.Sleep(time.Minute)
 		if rate := f.sendRate(time.Minute); rate > maxRate/20 {
 			t.Errorf("got %.0f bytes/s a process a minute later, want at most a 20th of maxRate", rate)
@@ -351,7 +351,7 @@
 func TestIdleFleetSendsLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 40)
-		f.network.Sent()
+		f.network.SentSinceLastCall()
 		time.Sleep(time.Minute)
 		if rate := f.sendRate(time.Minute); rate > maxRate/20 {
 			t.Errorf("got %.0f bytes/s a process, want at most a 20th of maxRate", rate)
--- a/internal/transport/ring/ring.go
+++ b/internal/transport/boundedqueue/queue.go
@@ -1,27 +1,27 @@
 // Package ring joins two goroutines, each with its own duty, by a bounded
 // queue. A full ring refuses instead of growing: the duty behind it has fallen
 // behind, and the producer must know.
-package ring
+package boundedqueue
 
 import (
 	"context"
 	"sync/atomic"
 )
 
-// Ring is a bounded first-in first-out queue, safe for many producers and
+// Queue is a bounded first-in first-out queue, safe for many producers and
 // consumers. A buffered channel carries it.
-type Ring[T any] struct {
+type Queue[T any] struct {
 	items   chan T
 	refused atomic.Int64
 }
 
 // New returns a ring that holds up to size items.
-func New[T any](size int) *Ring[T] {
-	return &Ring[T]{items: make(chan T, size)}
+func New[T any](size int) *Queue[T] {
+	return &Queue[T]{items: make(chan T, size)}
 }
 
 // TryPush adds an item, or reports false when the ring is full.
-func (r *Ring[T]) TryPush(item T) bool {
+func (r *Queue[T]) TryPush(item T) bool {
 	select {
 	case r.items <- item:
 		return true
@@ -32,7 +32,7 @@
 }
 
 // Push adds an item, waiting for room until ctx ends.
-func (r *Ring[T]) Push(ctx context.Context, item T) error {
+func (r *Queue[T]) Push(ctx context.Context, item T) error {
 	select {
 	case r.items <- item:
 		return nil
@@ -42,7 +42,7 @@
 }
 
 // Pop takes the oldest item, waiting for one until ctx ends.
-func (r *Ring[T]) Pop(ctx context.Context) (T, error) {
+func (r *Queue[T]) Pop(ctx context.Context) (T, error) {
 	select {
 	case item := <-r.items:
 		return item, nil
@@ -53,7 +53,7 @@
 }
 
 // TryPop takes the oldest item if there is one.
-func (r *Ring[T]) TryPop() (T, bool) {
+func (r *Queue[T]) TryPop() (T, bool) {
 	select {
 	case item := <-r.items:
 		return item, true
@@ -63,5 +63,5 @@
 	}
 }
 
-// Refused counts the items that a full ring refused.
-func (r *Ring[T]) Refused() int64 { return r.refused.Load() }
+// Rejected counts the items that a full ring refused.
+func (r *Queue[T]) Rejected() int64 { return r.refused.Load() }
--- a/internal/transport/datagram/datagram.go
+++ b/internal/transport/datagram/datagram.go
@@ -14,23 +14,23 @@
 // MaxSize bounds a message, in bytes: it should travel in one packet.
 const MaxSize = 1400
 
-// Group is a process's end of what such processes tell each other.
-type Group struct {
+// Socket is a process's end of what such processes tell each other.
+type Socket struct {
 	Conn net.PacketConn
 	Port uint16
 }
 
 // Listen opens a group at a process's own address.
-func Listen(address netip.AddrPort) (*Group, error) {
+func Listen(address netip.AddrPort) (*Socket, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	return &Group{Conn: conn, Port: conn.LocalAddr().(*net.UDPAddr).AddrPort().Port()}, nil
+	return &Socket{Conn: conn, Port: conn.LocalAddr().(*net.UDPAddr).AddrPort().Port()}, nil
 }
 
 // Send sends a message to hosts, and counts those to which it could not be sent.
-func (g *Group) Send(data []byte, hosts []netip.Addr) (failed int) {
+func (g *Socket) Send(data []byte, hosts []netip.Addr) (failed int) {
 	for _, host := range hosts {
 		to := net.UDPAddrFromAddrPort(netip.AddrPortFrom(host, g.Port))
 		if _, err := g.Conn.WriteTo(data, to); err != nil {
@@ -42,14 +42,14 @@
 
 // Receive hands on what arrives until ctx ends, and closes the connection. The bytes are
 // valid during the call of take.
-func (g *Group) Receive(ctx context.Context, take func(data []byte, from net.Addr)) {
+func (g *Socket) Receive(ctx context.Context, take func(data []byte, from net.Addr)) {
 	stop := context.AfterFunc(ctx, func() { g.Conn.Close() })
 	defer stop()
-	Each(g.Conn, take)
+	ReadLoop(g.Conn, take)
 }
 
-// Each hands on what arrives until the connection is closed.
-func Each(conn net.PacketConn, take func(data []byte, from net.Addr)) {
+// ReadLoop hands on what arrives until the connection is closed.
+func ReadLoop(conn net.PacketConn, take func(data []byte, from net.Addr)) {
 	buffer := make([]byte, MaxSize)
 	for {
 		n, from, err := conn.ReadFrom(buffer)
--- a/internal/transport/datagram/datagramtest/network.go
+++ b/internal/transport/datagram/datagramtest/network.go
@@ -42,8 +42,8 @@
 	data []byte
 }
 
-// Open returns the connection at an address.
-func (n *Network) Open(address netip.AddrPort) net.PacketConn {
+// Listen returns the connection at an address.
+func (n *Network) Listen(address netip.AddrPort) net.PacketConn {
 	c := &conn{network: n, address: address, inbox: make(chan packet, inboxSize), closed: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,22 +51,22 @@
 	return c
 }
 
-// Cut has all be lost that an address sends and is sent, or ends that.
-func (n *Network) Cut(address netip.AddrPort, cut bool) {
+// SetIsolated has all be lost that an address sends and is sent, or ends that.
+func (n *Network) SetIsolated(address netip.AddrPort, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[address] = cut
 }
 
-// Lose has a share of all datagrams be lost.
-func (n *Network) Lose(share float64) {
+// SetLoss has a share of all datagrams be lost.
+func (n *Network) SetLoss(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss = share
 }
 
-// Sent counts the datagrams sent since the last call, and their bytes.
-func (n *Network) Sent() (datagrams, size int) {
+// SentSinceLastCall counts the datagrams sent since the last call, and their bytes.
+func (n *Network) SentSinceLastCall() (datagrams, size int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	datagrams, size = n.sent, n.size
--- a/internal/transport/engine/client.go
+++ b/internal/transport/engine/client.go
@@ -31,7 +31,7 @@
 
 // Generate implements Engine.
 func (c *Client) Generate(ctx context.Context, r Request) (Stream, error) {
-	resp, err := c.calls.Open(ctx, http.MethodPost, "/generate", r)
+	resp, err := c.calls.DoStream(ctx, http.MethodPost, "/generate", r)
 	if err != nil {
 		return nil, callError(err)
 	}
--- a/internal/transport/httpjson/httpjson.go
+++ b/internal/transport/httpjson/httpjson.go
@@ -40,7 +40,7 @@
 // Errors: ErrNotSent when the connection failed, *StatusError, or a transport
 // error after which the call may have taken effect.
 func (c *Client) Do(ctx context.Context, method, path string, in, out any) error {
-	resp, err := c.Open(ctx, method, path, in)
+	resp, err := c.DoStream(ctx, method, path, in)
 	if err != nil {
 		return err
 	}
@@ -55,8 +55,8 @@
 	return errors.Annotatef(json.Unmarshal(data, out), "answer of %s %s", method, path)
 }
 
-// Open is Do for answers that are read as a stream; the caller closes the body.
-func (c *Client) Open(ctx context.Context, method, path string, in any) (*http.Response, error) {
+// DoStream is Do for answers that are read as a stream; the caller closes the body.
+func (c *Client) DoStream(ctx context.Context, method, path string, in any) (*http.Response, error) {
 	var body io.Reader
 	if in != nil {
 		data, err := json.Marshal(in)
--- a/internal/transport/logging/bounded.go
+++ b/internal/transport/logging/asyncwriter.go
@@ -6,23 +6,23 @@
 	"sync"
 	"time"
 
-	"limpetwall/internal/transport/ring"
+	"limpetwall/internal/transport/boundedqueue"
 )
 
-// Bounded hands log lines to one duty that writes them. A reader that doesn't read
+// AsyncWriter hands log lines to one duty that writes them. A reader that doesn't read
 // must not stop the requests whose decisions are logged: when the ring is full,
 // lines are dropped and counted.
-type Bounded struct {
-	lines *ring.Ring[[]byte]
+type AsyncWriter struct {
+	lines *boundedqueue.Queue[[]byte]
 	out   io.Writer
 	done  sync.WaitGroup
 	end   context.CancelFunc
 }
 
-// NewBounded starts a writer that holds up to size lines.
-func NewBounded(out io.Writer, size int) *Bounded {
+// NewAsyncWriter starts a writer that holds up to size lines.
+func NewAsyncWriter(out io.Writer, size int) *AsyncWriter {
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &Bounded{lines: ring.New[[]byte](size), out: out, end: cancel}
+	b := &AsyncWriter{lines: boundedqueue.New[[]byte](size), out: out, end: cancel}
 	b.done.Go(func() { b.write(ctx) })
 	return b
 }
@@ -30,7 +30,7 @@
 // batch bounds one write to the output; one call for many lines saves processor time.
 const batch = 32 << 10
 
-func (b *Bounded) write(ctx context.Context) {
+func (b *AsyncWriter) write(ctx context.Context) {
 	var buffer []byte
 	for {
 		line, err := b.lines.Pop(ctx)
@@ -58,19 +58,19 @@
 }
 
 // Write implements io.Writer; it never waits.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *AsyncWriter) Write(line []byte) (int, error) {
 	b.lines.TryPush(append([]byte(nil), line...))
 	return len(line), nil
 }
 
 // Sync implements zapcore.WriteSyncer.
-func (b *Bounded) Sync() error { return nil }
+func (b *AsyncWriter) Sync() error { return nil }
 
 // Dropped counts the lines that found no room.
-func (b *Bounded) Dropped() int64 { return b.lines.Refused() }
+func (b *AsyncWriter) Dropped() int64 { return b.lines.Rejected() }
 
 // Close writes what is held, for at most limit.
-func (b *Bounded) Close(limit time.Duration) {
+func (b *AsyncWriter) Close(limit time.Duration) {
 	b.end()
 	finished := make(chan struct{})
 	go func() {
--- a/internal/transport/logging/bounded_test.go
+++ b/internal/transport/logging/asyncwriter_test.go
@@ -31,7 +31,7 @@
 func TestReaderThatDoesNotRead(t *testing.T) {
 	out := &stuck{begun: make(chan struct{}), end: make(chan struct{})}
 	defer close(out.end)
-	b := NewBounded(out, 10)
+	b := NewAsyncWriter(out, 10)
 	log := New(b, zapcore.InfoLevel)
 	log.Info("first")
 	<-out.begun
@@ -46,7 +46,7 @@
 
 func TestLinesComeWholeAndInOrder(t *testing.T) {
 	var out bytes.Buffer
-	b := NewBounded(&out, 1000)
+	b := NewAsyncWriter(&out, 1000)
 	log := New(b, zapcore.InfoLevel)
 	for i := range 500 {
 		log.Info("decision", zap.Int("number", i))
--- a/internal/transport/pause/pause.go
+++ b/internal/transport/sleep/sleep.go
@@ -1,5 +1,5 @@
 // Package pause waits for a time or the end of a context, and draws times to wait.
-package pause
+package sleep
 
 import (
 	"context"
--- a/internal/transport/tlsfiles/tlsfiles.go
+++ b/internal/transport/tlsfiles/tlsfiles.go
@@ -26,8 +26,8 @@
 	CA string
 }
 
-// Source serves the newest certificates of some files.
-type Source struct {
+// Reloader serves the newest certificates of some files.
+type Reloader struct {
 	files   Files
 	mu      sync.Mutex
 	checked time.Time
@@ -36,9 +36,9 @@
 	pool    *x509.CertPool
 }
 
-// Open loads the files once, so that a wrong path is found at start.
-func Open(files Files) (*Source, error) {
-	s := &Source{files: files}
+// NewReloader loads the files once, so that a wrong path is found at start.
+func NewReloader(files Files) (*Reloader, error) {
+	s := &Reloader{files: files}
 	if err := s.load(); err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 	return s, nil
 }
 
-func (s *Source) load() error {
+func (s *Reloader) load() error {
 	cert, err := tls.LoadX509KeyPair(s.files.Cert, s.files.Key)
 	if err != nil {
 		return errors.Annotatef(err, "certificate %s", s.files.Cert)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func (s *Source) times() [3]time.Time {
+func (s *Reloader) times() [3]time.Time {
 	var stamp [3]time.Time
 	for i, name := range []string{s.files.Cert, s.files.Key, s.files.CA} {
 		if info, err := os.Stat(name); err == nil {
@@ -78,7 +78,7 @@
 
 // current returns the newest loadable certificates. Files that are half
 // replaced do not load; the last good ones stay in use until they do.
-func (s *Source) current() (*tls.Certificate, *x509.CertPool) {
+func (s *Reloader) current() (*tls.Certificate, *x509.CertPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now := time.Now(); now.Sub(s.checked) >= recheckEvery {
@@ -90,9 +90,9 @@
 	return s.cert, s.pool
 }
 
-// Server returns a configuration that asks clients for a certificate of the CA,
+// ServerConfig returns a configuration that asks clients for a certificate of the CA,
 // or for none when no CA is set.
-func (s *Source) Server() *tls.Config {
+func (s *Reloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -106,10 +106,10 @@
 	}
 }
 
-// Client returns a configuration that shows the certificate and accepts servers
+// ClientConfig returns a configuration that shows the certificate and accepts servers
 // signed by the CA, whatever their name: processes know each other by IP number
 // and the CA signs the system's processes only.
-func (s *Source) Client() *tls.Config {
+func (s *Reloader) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS12,
 		InsecureSkipVerify: true, // VerifyConnection below checks the chain against the CA.
@@ -121,7 +121,7 @@
 	}
 }
 
-func (s *Source) verifyServer(state tls.ConnectionState) error {
+func (s *Reloader) verifyServer(state tls.ConnectionState) error {
 	_, pool := s.current()
 	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
