--- a/internal/coordination/configlog/configlog.go
+++ b/internal/coordination/configlog/configlog.go
@@ -22,10 +22,10 @@
 	HeadKey        = "config.head"
 	snapshotPrefix = "config.snapshot."
 	// maxHeadChanges bounds the head's size: older changes go into a snapshot.
-	maxHeadChanges = 64
-	keptInHead     = 32
-	// partSize leaves room for an object's own framing within objectapi.MaxValue.
-	partSize = 900 << 10
+	maxHeadChanges             = 64
+	headChangesAfterCompaction = 32
+	// maxObjectSize leaves room for an object's own framing within objectapi.MaxValue.
+	maxObjectSize = 900 << 10
 )
 
 // Head is the stored head.
@@ -80,9 +80,9 @@
 // CatchUp brings a store to a head, reading the snapshot if the head's changes
 // do not reach back far enough.
 func (l *Log) CatchUp(ctx context.Context, store *config.Store, head Head) error {
-	have := store.View().Revision
-	reachesBack := len(head.Changes) > 0 && head.Changes[0].Revision <= have+1
-	if have < head.Revision && !reachesBack {
+	current := store.View().Revision
+	headSuffices := len(head.Changes) > 0 && head.Changes[0].Revision <= current+1
+	if current < head.Revision && !headSuffices {
 		v, err := l.readSnapshot(ctx, head)
 		if err != nil {
 			return errors.Trace(err)
@@ -127,7 +127,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if len(next.Changes) > maxHeadChanges || len(value) > partSize {
+	if len(next.Changes) > maxHeadChanges || len(value) > maxObjectSize {
 		if err := l.compact(ctx, &next, base); err != nil {
 			// Without a snapshot nothing was written to the head, whatever became
 			// of the snapshot itself.
@@ -155,8 +155,8 @@
 		return errors.Trace(err)
 	}
 	parts := 0
-	for offset := 0; offset < len(data); offset += partSize {
-		end := min(offset+partSize, len(data))
+	for offset := 0; offset < len(data); offset += maxObjectSize {
+		end := min(offset+maxObjectSize, len(data))
 		_, err := l.api.Put(ctx, snapshotKey(base.Revision, parts), data[offset:end], 0)
 		// A conflict means that a racing writer, or our own write whose answer
 		// was lost, stored the same snapshot of the same revision.
@@ -167,15 +167,15 @@
 	}
 	next.SnapshotRevision = base.Revision
 	next.SnapshotParts = parts
-	keep := min(keptInHead, len(next.Changes))
-	next.Changes = next.Changes[len(next.Changes)-keep:]
-	for size(next.Changes) > partSize && len(next.Changes) > 1 {
+	retained := min(headChangesAfterCompaction, len(next.Changes))
+	next.Changes = next.Changes[len(next.Changes)-retained:]
+	for encodedSize(next.Changes) > maxObjectSize && len(next.Changes) > 1 {
 		next.Changes = next.Changes[1:]
 	}
 	return nil
 }
 
-func size(changes []config.Change) int {
+func encodedSize(changes []config.Change) int {
 	data, _ := json.Marshal(changes)
 	return len(data)
 }
@@ -187,14 +187,14 @@
 	if err != nil {
 		return
 	}
-	newestOld := ""
+	previous := ""
 	for _, o := range objects {
 		if o.Key < snapshotKey(current, 0) {
-			newestOld = o.Key[:len(snapshotPrefix)+20]
+			previous = o.Key[:len(snapshotPrefix)+20]
 		}
 	}
 	for _, o := range objects {
-		if o.Key < snapshotKey(current, 0) && o.Key[:len(snapshotPrefix)+20] != newestOld {
+		if o.Key < snapshotKey(current, 0) && o.Key[:len(snapshotPrefix)+20] != previous {
 			l.api.Delete(ctx, o.Key, o.Version)
 		}
 	}
--- a/internal/coordination/plan/confirm.go
+++ b/internal/coordination/plan/confirm.go
@@ -30,27 +30,27 @@
 // id. "Not applied" is only said before any write was sent, or once the head
 // has moved past the version that a lost write was bound to.
 func (c *Confirmer) Confirm(ctx context.Context, p Plan) Result {
-	unresolved := false
-	var lost configlog.Head
+	outcomeUnknown := false
+	var lostWriteHead configlog.Head
 	for range c.MaxTries {
 		head, err := c.Log.Read(ctx)
 		if err == nil {
 			err = c.Log.CatchUp(ctx, c.Store, head)
 		}
 		if err != nil {
-			return withoutPlatform(p, unresolved, err)
+			return failureResult(p, outcomeUnknown, err)
 		}
 		view := c.Store.View()
 		if view.Revision != head.Revision {
 			// A newer change reached this process while it read; read again.
 			continue
 		}
-		verdict := Decide(view, p)
-		if verdict.Outcome != Ready {
-			return verdict
+		result := Decide(view, p)
+		if result.Outcome != Ready {
+			return result
 		}
-		if unresolved && !head.HasSameVersion(lost) {
-			unresolved = false
+		if outcomeUnknown && !head.HasSameVersion(lostWriteHead) {
+			outcomeUnknown = false
 		}
 		change, err := BuildChange(view, p, c.Salt, c.Now())
 		if err != nil {
@@ -59,27 +59,27 @@
 		err = c.Log.Append(ctx, head, view, change)
 		switch {
 		case err == nil:
-			return c.applied(p, change)
+			return c.applyLocally(p, change)
 		case errors.Is(err, objectapi.ErrConflict):
 		case errors.Is(err, objectapi.ErrOutcomeUnknown):
-			unresolved = true
-			lost = head
+			outcomeUnknown = true
+			lostWriteHead = head
 		default:
-			return withoutPlatform(p, unresolved, err)
+			return failureResult(p, outcomeUnknown, err)
 		}
 	}
-	return withoutPlatform(p, unresolved, errors.New("too many racing changes"))
+	return failureResult(p, outcomeUnknown, errors.New("too many racing changes"))
 }
 
-// applied puts the accepted change in force here at once. The next reader of
+// applyLocally puts the accepted change in force here at once. The next reader of
 // the platform or of a peer repairs a failure, so it does not change the answer.
-func (c *Confirmer) applied(p Plan, change config.Change) Result {
+func (c *Confirmer) applyLocally(p Plan, change config.Change) Result {
 	c.Store.Apply(change)
 	return Result{Outcome: Applied, PlanID: p.ID, Revision: change.Revision, Message: "the plan is applied"}
 }
 
-func withoutPlatform(p Plan, unresolved bool, err error) Result {
-	if unresolved {
+func failureResult(p Plan, outcomeUnknown bool, err error) Result {
+	if outcomeUnknown {
 		return Result{
 			Outcome: Unknown, PlanID: p.ID,
 			Message: "the platform did not answer after the write was sent: confirm the same plan again to learn its outcome (" + err.Error() + ")",
--- a/internal/coordination/plan/plan.go
+++ b/internal/coordination/plan/plan.go
@@ -100,41 +100,41 @@
 	}
 	seen := map[config.Ref]bool{}
 	for i, d := range r.Put {
-		place := fmt.Sprintf("$.put[%d]", i)
-		d.Check(&l, place)
-		checkOnce(&l, seen, place, d.Ref)
-		checkSalt(&l, place, d)
+		path := fmt.Sprintf("$.put[%d]", i)
+		d.Check(&l, path)
+		checkDuplicate(&l, seen, path, d.Ref)
+		checkNoSalt(&l, path, d)
 	}
 	for i, ref := range r.Delete {
-		place := fmt.Sprintf("$.delete[%d]", i)
-		checkOnce(&l, seen, place, ref)
+		path := fmt.Sprintf("$.delete[%d]", i)
+		checkDuplicate(&l, seen, path, ref)
 		if _, ok := v.Documents[ref]; !ok {
-			l.Add(place, "%s does not exist", ref)
+			l.Add(path, "%s does not exist", ref)
 		}
 	}
 	if len(l.Items()) == 0 {
-		v.With(change(r)).CheckReferences(&l)
+		v.With(requestedChange(r)).CheckReferences(&l)
 	}
 	return &l
 }
 
-func checkOnce(l *finding.List, seen map[config.Ref]bool, place string, ref config.Ref) {
+func checkDuplicate(l *finding.List, seen map[config.Ref]bool, path string, ref config.Ref) {
 	if seen[ref] {
-		l.Add(place, "%s is named twice", ref)
+		l.Add(path, "%s is named twice", ref)
 	}
 	seen[ref] = true
 }
 
-// checkSalt refuses a salt from outside: an operator who could set one could
+// checkNoSalt refuses a salt from outside: an operator who could set one could
 // make two customers share contexts.
-func checkSalt(l *finding.List, place string, d config.Document) {
+func checkNoSalt(l *finding.List, path string, d config.Document) {
 	var c config.Customer
 	if d.Kind == config.KindCustomer && json.Unmarshal(d.Spec, &c) == nil && len(c.Salt) > 0 {
-		l.Add(place+".spec.salt", "is made by the system and can't be set")
+		l.Add(path+".spec.salt", "is made by the system and can't be set")
 	}
 }
 
-func change(r Request) config.Change {
+func requestedChange(r Request) config.Change {
 	return config.Change{Puts: r.Put, Deletes: r.Delete}
 }
 
@@ -144,7 +144,7 @@
 		Operator: operator, Nonce: nonce, At: now.UTC(), BaseRevision: v.Revision, Request: r,
 		Bases: []Base{}, Steps: []Step{}, Effects: []Effect{}, Warnings: []string{},
 	}
-	for _, ref := range change(r).Refs() {
+	for _, ref := range requestedChange(r).Refs() {
 		p.Bases = append(p.Bases, Base{Ref: ref, Revision: v.Revisions[ref]})
 	}
 	for _, d := range r.Put {
@@ -153,7 +153,7 @@
 	for _, ref := range r.Delete {
 		p.Steps = append(p.Steps, Step{Ref: ref, Action: Delete})
 	}
-	next := v.With(change(r))
+	next := v.With(requestedChange(r))
 	p.Effects = append(p.Effects, effects(v, next, members)...)
 	p.Warnings = append(p.Warnings, warnings(v, next, members)...)
 	p.ID = p.Digest()
@@ -173,11 +173,11 @@
 }
 
 func sameSpec(kind config.Kind, a, b json.RawMessage) bool {
-	return string(normalize(kind, a)) == string(normalize(kind, b))
+	return string(normalizeSpec(kind, a)) == string(normalizeSpec(kind, b))
 }
 
-// normalize orders a spec's fields and leaves out the system's own.
-func normalize(kind config.Kind, spec json.RawMessage) []byte {
+// normalizeSpec orders a spec's fields and leaves out the system's own.
+func normalizeSpec(kind config.Kind, spec json.RawMessage) []byte {
 	fields := map[string]any{}
 	if json.Unmarshal(spec, &fields) != nil {
 		return spec
@@ -244,15 +244,15 @@
 	if revision, ok := v.Plans[p.ID]; ok {
 		return Result{Outcome: Applied, PlanID: p.ID, Revision: revision, Message: "the plan is applied"}
 	}
-	var moved []Difference
+	var differences []Difference
 	for _, b := range p.Bases {
 		if now := v.Revisions[b.Ref]; now != b.Revision {
-			moved = append(moved, Difference{Ref: b.Ref, PlannedOn: b.Revision, Now: now})
+			differences = append(differences, Difference{Ref: b.Ref, PlannedOn: b.Revision, Now: now})
 		}
 	}
-	if len(moved) > 0 {
+	if len(differences) > 0 {
 		return Result{
-			Outcome: BaseMoved, PlanID: p.ID, Differences: moved,
+			Outcome: BaseMoved, PlanID: p.ID, Differences: differences,
 			Message: "not applied: documents changed since the plan was made; plan again",
 		}
 	}
@@ -298,18 +298,18 @@
 
 // Redacted returns a document as operators may see it.
 func Redacted(d config.Document) config.Document {
-	d.Spec = normalize(d.Kind, d.Spec)
+	d.Spec = normalizeSpec(d.Kind, d.Spec)
 	return d
 }
 
 func effects(before, after *config.View, members []fleet.Member) []Effect {
 	var out []Effect
 	for _, m := range members {
-		old, new := serving(before, m), serving(after, m)
-		for service, intent := range new {
-			prev, had := old[service]
+		oldIntents, newIntents := intentsByService(before, m), intentsByService(after, m)
+		for service, intent := range newIntents {
+			prev, wasServed := oldIntents[service]
 			switch {
-			case !had:
+			case !wasServed:
 				out = append(out, Effect{Host: m.Host, Endpoint: m.Endpoint.ID, Service: service, Change: "gains", Detail: "by intent " + intent.ID})
 			case prev.WeightVersion != intent.WeightVersion || prev.Model != intent.Model || prev.Adapter != intent.Adapter:
 				out = append(out, Effect{
@@ -318,8 +318,8 @@
 				})
 			}
 		}
-		for service := range old {
-			if _, still := new[service]; !still {
+		for service := range oldIntents {
+			if _, isServed := newIntents[service]; !isServed {
 				out = append(out, Effect{Host: m.Host, Endpoint: m.Endpoint.ID, Service: service, Change: "loses"})
 			}
 		}
@@ -333,11 +333,11 @@
 	return out
 }
 
-func serving(v *config.View, m fleet.Member) map[string]*config.Intent {
+func intentsByService(v *config.View, m fleet.Member) map[string]*config.Intent {
 	out := map[string]*config.Intent{}
 	for service, intents := range v.Intents {
 		for _, i := range intents {
-			if _, taken := out[service]; !taken && Matches(i, m.Endpoint) {
+			if _, found := out[service]; !found && Matches(i, m.Endpoint) {
 				out[service] = i
 			}
 		}
@@ -354,7 +354,7 @@
 				if !IsAvailable(m) || !Matches(i, m.Endpoint) {
 					continue
 				}
-				if !fits(i, m.Endpoint) {
+				if !servesWeightsOf(i, m.Endpoint) {
 					wrongVersion++
 					continue
 				}
@@ -373,7 +373,7 @@
 		}
 	}
 	for id := range before.Customers {
-		if _, still := after.Customers[id]; !still {
+		if _, exists := after.Customers[id]; !exists {
 			out = append(out, fmt.Sprintf("customer %s is deleted, its requests will be refused and its contexts lost", id))
 		}
 	}
@@ -381,7 +381,7 @@
 	return out
 }
 
-func fits(i *config.Intent, e fleet.Endpoint) bool {
+func servesWeightsOf(i *config.Intent, e fleet.Endpoint) bool {
 	return (i.Model == "" || i.Model == e.Model) &&
 		i.Accepts(e.WeightVersion) &&
 		(i.Adapter == "" || i.Adapter == e.Adapter)
@@ -395,5 +395,5 @@
 
 // IsUsable tells whether an endpoint may serve an intent's requests now.
 func IsUsable(i *config.Intent, m fleet.Member) bool {
-	return IsAvailable(m) && Matches(i, m.Endpoint) && fits(i, m.Endpoint)
+	return IsAvailable(m) && Matches(i, m.Endpoint) && servesWeightsOf(i, m.Endpoint)
 }
--- a/internal/coordination/plan/plan_test.go
+++ b/internal/coordination/plan/plan_test.go
@@ -27,9 +27,9 @@
 	// script holds one letter a write: 'o' succeeds, 'l' loses the answer after
 	// the write took effect, 'n' loses the request, 'u' is refused unsent.
 	script string
-	// late holds writes whose request was lost on the way and may still arrive.
-	late     []func()
-	downRead bool
+	// delayedWrites holds writes whose request was lost on the way and may still arrive.
+	delayedWrites []func()
+	downRead      bool
 }
 
 func (f *faultyAPI) Get(ctx context.Context, key string) (objectapi.Object, error) {
@@ -40,16 +40,16 @@
 }
 
 func (f *faultyAPI) Put(ctx context.Context, key string, value []byte, version int64) (objectapi.Object, error) {
-	fate := byte('o')
+	outcome := byte('o')
 	if f.script != "" {
-		fate, f.script = f.script[0], f.script[1:]
+		outcome, f.script = f.script[0], f.script[1:]
 	}
-	switch fate {
+	switch outcome {
 	case 'l':
 		f.Store.Put(ctx, key, value, version)
 		return objectapi.Object{}, objectapi.ErrOutcomeUnknown
 	case 'n':
-		f.late = append(f.late, func() { f.Store.Put(ctx, key, value, version) })
+		f.delayedWrites = append(f.delayedWrites, func() { f.Store.Put(ctx, key, value, version) })
 		return objectapi.Object{}, objectapi.ErrOutcomeUnknown
 	case 'u':
 		return objectapi.Object{}, objectapi.ErrUnavailable
@@ -57,32 +57,32 @@
 	return f.Store.Put(ctx, key, value, version)
 }
 
-func confirmer(api objectapi.API, store *config.Store) *plan.Confirmer {
+func newConfirmer(api objectapi.API, store *config.Store) *plan.Confirmer {
 	return &plan.Confirmer{
 		Log: configlog.New(api), Store: store, Salt: func() []byte { return []byte("salt") },
 		Now: func() time.Time { return epoch }, MaxTries: 6,
 	}
 }
 
-func service(id string) config.Document {
+func serviceDocument(id string) config.Document {
 	return config.Document{Ref: config.Ref{Kind: config.KindService, ID: id}, Spec: json.RawMessage(`{"kind":"prompt","customers":["*"],"objective":{},"limits":{}}`)}
 }
 
-func planFor(v *config.View, nonce string, ids ...string) plan.Plan {
+func newPlan(v *config.View, nonce string, ids ...string) plan.Plan {
 	var r plan.Request
 	for _, id := range ids {
-		r.Put = append(r.Put, service(id))
+		r.Put = append(r.Put, serviceDocument(id))
 	}
 	return plan.New(v, r, nil, "op", nonce, epoch)
 }
 
-// TestConfirmGivesTheOneTrueAnswer confirms under each fate of its writes.
+// TestConfirmOutcomeMatchesLog confirms under each fate of its writes.
 //
 // The operator sees "applied" only for a change that is in the log, "not
 // applied" only for one that never will be, and otherwise "unknown"; a lost
 // write that arrives late must not turn an earlier "not applied" into a lie.
-func TestConfirmGivesTheOneTrueAnswer(t *testing.T) {
-	rows := []struct {
+func TestConfirmOutcomeMatchesLog(t *testing.T) {
+	tests := []struct {
 		name, script string
 		want         plan.Outcome
 	}{
@@ -95,33 +95,33 @@
 		{"every request is lost", "nnnnnn", plan.Unknown},
 		{"answer lost and the log can't be read again", "lr", plan.Unknown},
 	}
-	for _, row := range rows {
-		t.Run(row.name, func(t *testing.T) {
-			api := &faultyAPI{Store: standin.New(), script: strings.TrimSuffix(row.script, "r")}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			api := &faultyAPI{Store: standin.New(), script: strings.TrimSuffix(test.script, "r")}
 			store := config.NewStore()
-			c := confirmer(api, store)
-			if strings.HasSuffix(row.script, "r") {
-				c.Log = configlog.New(&readsOnce{faultyAPI: api})
+			c := newConfirmer(api, store)
+			if strings.HasSuffix(test.script, "r") {
+				c.Log = configlog.New(&singleReadAPI{faultyAPI: api})
 			}
-			p := planFor(store.View(), "n", "one")
-			verdict := c.Confirm(t.Context(), p)
-			if verdict.Outcome != row.want {
-				t.Fatalf("%+v, want %s", verdict, row.want)
+			p := newPlan(store.View(), "n", "one")
+			result := c.Confirm(t.Context(), p)
+			if result.Outcome != test.want {
+				t.Fatalf("%+v, want %s", result, test.want)
 			}
-			for _, arrive := range api.late {
-				arrive()
+			for _, write := range api.delayedWrites {
+				write()
 			}
-			final := configlog.New(api.Store)
-			head, err := final.Read(t.Context())
+			log := configlog.New(api.Store)
+			head, err := log.Read(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
 			applied := head.Revision == 1
-			if verdict.Outcome == plan.Applied && !applied || verdict.Outcome == plan.Unavailable && applied {
-				t.Errorf("answer %s, applied %v", verdict.Outcome, applied)
+			if result.Outcome == plan.Applied && !applied || result.Outcome == plan.Unavailable && applied {
+				t.Errorf("answer %s, applied %v", result.Outcome, applied)
 			}
 			// Asking again with the same plan settles it.
-			again := confirmer(api.Store, config.NewStore()).Confirm(t.Context(), p)
+			again := newConfirmer(api.Store, config.NewStore()).Confirm(t.Context(), p)
 			if again.Outcome != plan.Applied || again.Revision != 1 {
 				t.Errorf("asked again: %+v", again)
 			}
@@ -129,13 +129,13 @@
 	}
 }
 
-// readsOnce lets one read through.
-type readsOnce struct {
+// singleReadAPI lets one read through.
+type singleReadAPI struct {
 	*faultyAPI
 	read bool
 }
 
-func (r *readsOnce) Get(ctx context.Context, key string) (objectapi.Object, error) {
+func (r *singleReadAPI) Get(ctx context.Context, key string) (objectapi.Object, error) {
 	if r.read {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
@@ -143,30 +143,30 @@
 	return r.faultyAPI.Get(ctx, key)
 }
 
-// TestRacingOperators confirms conflicting and independent plans at once.
+// TestConcurrentConfirms confirms conflicting and independent plans at once.
 //
 // Of eight operators who change the same document one is applied and seven are
 // told what moved; eight who change different documents are all applied. The
 // revisions count without a gap.
-func TestRacingOperators(t *testing.T) {
-	for _, same := range []bool{true, false} {
+func TestConcurrentConfirms(t *testing.T) {
+	for _, sameDocument := range []bool{true, false} {
 		api := standin.New()
 		var group sync.WaitGroup
-		verdicts := make([]plan.Result, 8)
-		for i := range verdicts {
+		results := make([]plan.Result, 8)
+		for i := range results {
 			store := config.NewStore()
 			id := "same"
-			if !same {
+			if !sameDocument {
 				id = fmt.Sprintf("own-%d", i)
 			}
-			p := planFor(store.View(), fmt.Sprint(i), id)
-			c := confirmer(api, store)
+			p := newPlan(store.View(), fmt.Sprint(i), id)
+			c := newConfirmer(api, store)
 			c.MaxTries = 32
-			group.Go(func() { verdicts[i] = c.Confirm(context.Background(), p) })
+			group.Go(func() { results[i] = c.Confirm(context.Background(), p) })
 		}
 		group.Wait()
 		applied := 0
-		for _, v := range verdicts {
+		for _, v := range results {
 			switch {
 			case v.Outcome == plan.Applied:
 				applied++
@@ -176,11 +176,11 @@
 		}
 		head, err := configlog.New(api).Read(t.Context())
 		want := 8
-		if same {
+		if sameDocument {
 			want = 1
 		}
 		if err != nil || applied != want || head.Revision != uint64(want) {
-			t.Errorf("same %v: %d applied, revision %d, %v", same, applied, head.Revision, err)
+			t.Errorf("same %v: %d applied, revision %d, %v", sameDocument, applied, head.Revision, err)
 		}
 	}
 }
@@ -190,17 +190,17 @@
 func TestLogSurvivesCompaction(t *testing.T) {
 	api := standin.New()
 	store := config.NewStore()
-	c := confirmer(api, store)
-	behind := config.NewStore()
+	c := newConfirmer(api, store)
+	lagging := config.NewStore()
 	log := configlog.New(api)
 	const changes = 200
 	for i := range changes {
-		if v := c.Confirm(t.Context(), planFor(store.View(), fmt.Sprint(i), fmt.Sprintf("s-%d", i%50))); v.Outcome != plan.Applied {
+		if v := c.Confirm(t.Context(), newPlan(store.View(), fmt.Sprint(i), fmt.Sprintf("s-%d", i%50))); v.Outcome != plan.Applied {
 			t.Fatalf("change %d: %+v", i, v)
 		}
 		if i == 70 || i == 198 {
 			head, _ := log.Read(t.Context())
-			if err := log.CatchUp(t.Context(), behind, head); err != nil {
+			if err := log.CatchUp(t.Context(), lagging, head); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -209,7 +209,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, s := range map[string]*config.Store{"empty": config.NewStore(), "behind": behind} {
+	for name, s := range map[string]*config.Store{"empty": config.NewStore(), "behind": lagging} {
 		if err := log.CatchUp(t.Context(), s, head); err != nil {
 			t.Fatal(err)
 		}
@@ -225,13 +225,13 @@
 	}
 }
 
-// TestRevisionNeverGoesBack applies random orders of changes and snapshots.
-func TestRevisionNeverGoesBack(t *testing.T) {
+// TestRevisionIsMonotonic applies random orders of changes and snapshots.
+func TestRevisionIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var changes []config.Change
 		views := []*config.View{config.Empty()}
 		for i := range 6 {
-			c := config.Change{Revision: uint64(i + 1), PlanID: fmt.Sprint(i), Puts: []config.Document{service(fmt.Sprintf("s-%d", i%3))}}
+			c := config.Change{Revision: uint64(i + 1), PlanID: fmt.Sprint(i), Puts: []config.Document{serviceDocument(fmt.Sprintf("s-%d", i%3))}}
 			changes = append(changes, c)
 			views = append(views, views[i].With(c))
 		}
@@ -256,11 +256,11 @@
 	})
 }
 
-// TestSaltIsTheSystems gives a customer its salt once and for good.
-func TestSaltIsTheSystems(t *testing.T) {
+// TestSaltIsSetOnlyBySystem gives a customer its salt once and for good.
+func TestSaltIsSetOnlyBySystem(t *testing.T) {
 	store := config.NewStore()
 	api := standin.New()
-	c := confirmer(api, store)
+	c := newConfirmer(api, store)
 	salts := 0
 	c.Salt = func() []byte { salts++; return fmt.Appendf(nil, "salt-%d", salts) }
 	customer := func(share string) config.Document {
@@ -296,8 +296,8 @@
 		spec := fmt.Sprintf(`{"service":"s","labels":{"pool":%q},"model":"m","weight_version":%q}`, pool, version)
 		return config.Document{Ref: config.Ref{Kind: config.KindIntent, ID: "i"}, Spec: json.RawMessage(spec)}
 	}
-	base := config.Empty().With(config.Change{Revision: 1, Puts: []config.Document{service("s"), intent("x", "v1")}})
-	rows := []struct {
+	base := config.Empty().With(config.Change{Revision: 1, Puts: []config.Document{serviceDocument("s"), intent("x", "v1")}})
+	tests := []struct {
 		put      config.Document
 		effects  string
 		warnings int
@@ -307,14 +307,14 @@
 		{intent("z", "v1"), "a loses", 1},
 		{intent("x", "v1"), "", 0},
 	}
-	for _, row := range rows {
-		p := plan.New(base, plan.Request{Put: []config.Document{row.put}}, members, "op", "n", epoch)
+	for _, test := range tests {
+		p := plan.New(base, plan.Request{Put: []config.Document{test.put}}, members, "op", "n", epoch)
 		var got []string
 		for _, e := range p.Effects {
 			got = append(got, e.Endpoint+" "+e.Change)
 		}
-		if strings.Join(got, ", ") != row.effects || len(p.Warnings) != row.warnings {
-			t.Errorf("%s: effects %v, warnings %v", row.put.Spec, got, p.Warnings)
+		if strings.Join(got, ", ") != test.effects || len(p.Warnings) != test.warnings {
+			t.Errorf("%s: effects %v, warnings %v", test.put.Spec, got, p.Warnings)
 		}
 		if !p.IsIntact() {
 			t.Error("plan is not intact")
@@ -327,8 +327,8 @@
 }
 
 func FuzzDecodeView(f *testing.F) {
-	whole, _ := config.EncodeView(config.Empty().With(config.Change{Revision: 1, Puts: []config.Document{service("s")}}))
-	f.Add(whole)
+	valid, _ := config.EncodeView(config.Empty().With(config.Change{Revision: 1, Puts: []config.Document{serviceDocument("s")}}))
+	f.Add(valid)
 	f.Add([]byte(`{"revision":1,"documents":[{"kind":"intent","id":"i","spec":null}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		v, err := config.DecodeView(data)
