--- a/internal/coordination/gossip/node.go
+++ b/internal/coordination/gossip/node.go
@@ -91,31 +91,31 @@
 
 // Node spreads and receives. Create it with New and start it with Run.
 type Node struct {
-	cfg   Config
-	table *fleet.Table
-	store *config.Store
-	log   *configlog.Log
-	hosts hostlist.List
-	peers Peers
-	zap   *zap.Logger
-	// book holds the evidence against requests that crash endpoints; it spreads with all else.
-	book *quarantine.Tracker
-	// tellQuarantines tells that a peer's quarantines differ from this process's.
-	tellQuarantines atomic.Bool
-	// news wakes the push duty; one waiting wake-up is enough.
-	news   *boundedqueue.Queue[struct{}]
-	repair *boundedqueue.Queue[repairJob]
+	cfg       Config
+	table     *fleet.Table
+	store     *config.Store
+	configLog *configlog.Log
+	hosts     hostlist.List
+	peers     Peers
+	logger    *zap.Logger
+	// quarantines holds the evidence against requests that crash endpoints; it spreads with all else.
+	quarantines *quarantine.Tracker
+	// quarantinesDiffer tells that a peer's quarantines differ from this process's.
+	quarantinesDiffer atomic.Bool
+	// pushSignal wakes the push duty; one waiting wake-up is enough.
+	pushSignal *boundedqueue.Queue[struct{}]
+	repairs    *boundedqueue.Queue[repairJob]
 
 	// calls are the exchanges underway; Run waits for them.
 	calls sync.WaitGroup
 
-	mu         sync.Mutex
-	platformAt time.Time
-	mismatches map[string]int
-	nextProbe  int
-	counts     Counts
-	fence      uint64
-	pushed     pushState
+	mu             sync.Mutex
+	platformReadAt time.Time
+	mismatches     map[string]int
+	probeIndex     int
+	counts         Counts
+	fence          uint64
+	changePush     pushState
 }
 
 // Counts are a node's exact message counts, for the capacity bench.
@@ -135,8 +135,8 @@
 // New returns a node; nothing runs yet.
 func New(cfg Config, table *fleet.Table, store *config.Store, log *configlog.Log, hosts hostlist.List, peers Peers, logger *zap.Logger) *Node {
 	return &Node{
-		cfg: cfg, table: table, store: store, log: log, hosts: hosts, peers: peers, zap: logger, book: quarantine.NewTracker(),
-		news: boundedqueue.New[struct{}](1), repair: boundedqueue.New[repairJob](16), mismatches: map[string]int{},
+		cfg: cfg, table: table, store: store, configLog: log, hosts: hosts, peers: peers, logger: logger, quarantines: quarantine.NewTracker(),
+		pushSignal: boundedqueue.New[struct{}](1), repairs: boundedqueue.New[repairJob](16), mismatches: map[string]int{},
 	}
 }
 
@@ -144,7 +144,7 @@
 func (n *Node) Table() *fleet.Table { return n.table }
 
 // Quarantines gives what the fleet knows of requests that crash endpoints.
-func (n *Node) Quarantines() *quarantine.Tracker { return n.book }
+func (n *Node) Quarantines() *quarantine.Tracker { return n.quarantines }
 
 // Counts returns the message counts so far.
 func (n *Node) Counts() Counts {
@@ -155,13 +155,13 @@
 
 // Run starts all duties and returns when ctx ends and they have stopped.
 func (n *Node) Run(ctx context.Context) {
-	duties := []func(context.Context){
-		n.probeDuty, n.pushDuty, n.watchDuty, n.hostsDuty, n.expireDuty, n.reconnectDuty, n.joinDuty, n.repairDuty,
-		n.quarantineDuty,
+	loops := []func(context.Context){
+		n.probeLoop, n.pushLoop, n.platformWatchLoop, n.hostListLoop, n.expiryLoop, n.reconnectLoop, n.joinLoop, n.repairLoop,
+		n.quarantineLoop,
 	}
 	var group sync.WaitGroup
-	for _, duty := range duties {
-		group.Go(func() { duty(ctx) })
+	for _, loop := range loops {
+		group.Go(func() { loop(ctx) })
 	}
 	group.Wait()
 	n.calls.Wait()
@@ -169,7 +169,7 @@
 
 // Announce wakes the push duty: there is news that should not wait for the next
 // probe.
-func (n *Node) Announce() { n.news.TryPush(struct{}{}) }
+func (n *Node) Announce() { n.pushSignal.TryPush(struct{}{}) }
 
 // jitter spreads periods by ±20% so that processes started together do not
 // stay in step.
@@ -177,9 +177,9 @@
 	return time.Duration(float64(d) * (0.8 + 0.4*rand.Float64()))
 }
 
-func (n *Node) probeDuty(ctx context.Context) {
+func (n *Node) probeLoop(ctx context.Context) {
 	for sleep.For(ctx, jitter(n.cfg.ProbeInterval)) {
-		if target, ok := n.probeTarget(); ok {
+		if target, ok := n.nextProbeTarget(); ok {
 			// A slow answer must not delay the next probe: with it, one dead
 			// successor would hide the death of another.
 			n.calls.Go(func() { n.probe(ctx, target) })
@@ -187,15 +187,15 @@
 	}
 }
 
-func (n *Node) probeTarget() (fleet.Member, bool) {
+func (n *Node) nextProbeTarget() (fleet.Member, bool) {
 	successors := n.table.Successors(n.cfg.Successors)
 	if len(successors) == 0 {
 		return fleet.Member{}, false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.nextProbe++
-	return successors[n.nextProbe%len(successors)], true
+	n.probeIndex++
+	return successors[n.probeIndex%len(successors)], true
 }
 
 func (n *Node) probe(ctx context.Context, target fleet.Member) {
@@ -206,7 +206,7 @@
 		return
 	}
 	if n.table.Suspect(target.ID, target.Incarnation, time.Now()) {
-		n.zap.Info("member suspected", zap.String("member", target.ID), zap.String("address", target.Address))
+		n.logger.Info("member suspected", zap.String("member", target.ID), zap.String("address", target.Address))
 		n.Announce()
 	}
 }
@@ -239,18 +239,18 @@
 
 // randomMembers draws some of this process's contacts.
 func (n *Node) randomMembers(count int) []fleet.Member {
-	contacts := n.table.Contacts(n.cfg.Contacts, n.epoch())
+	contacts := n.table.Contacts(n.cfg.Contacts, n.currentEpoch())
 	rand.Shuffle(len(contacts), func(i, j int) { contacts[i], contacts[j] = contacts[j], contacts[i] })
 	return contacts[:min(count, len(contacts))]
 }
 
-func (n *Node) epoch() uint64 {
+func (n *Node) currentEpoch() uint64 {
 	return uint64(time.Now().UnixNano() / int64(n.cfg.EpochLength))
 }
 
-func (n *Node) pushDuty(ctx context.Context) {
+func (n *Node) pushLoop(ctx context.Context) {
 	for {
-		if _, err := n.news.Pop(ctx); err != nil {
+		if _, err := n.pushSignal.Pop(ctx); err != nil {
 			return
 		}
 		for _, m := range n.randomMembers(n.cfg.Fanout) {
@@ -292,21 +292,21 @@
 func (n *Node) exchange(ctx context.Context, id, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.ProbeTimeout)
 	defer cancel()
-	req := n.request()
+	req := n.newExchangeRequest()
 	resp, err := n.peers.Exchange(ctx, address, req)
 	if err != nil {
-		n.count(proto.Size(req), 0)
+		n.countExchange(proto.Size(req), 0)
 		return err
 	}
-	n.count(proto.Size(req), proto.Size(resp))
+	n.countExchange(proto.Size(req), proto.Size(resp))
 	n.RaiseFence(resp.GetFence())
-	n.takeIn(address, resp.GetMembers(), resp.GetLoads(), resp.GetChanges(), resp.GetPlatformAgeMs())
-	n.takeQuarantines(address, resp.GetQuarantine(), resp.GetQuarantineDigest())
-	n.compare(id, address, resp.GetRevision(), resp.GetMemberDigest())
+	n.mergeUpdates(address, resp.GetMembers(), resp.GetLoads(), resp.GetChanges(), resp.GetPlatformAgeMs())
+	n.mergeQuarantines(address, resp.GetQuarantine(), resp.GetQuarantineDigest())
+	n.compareState(id, address, resp.GetRevision(), resp.GetMemberDigest())
 	return nil
 }
 
-func (n *Node) count(sent, received int) {
+func (n *Node) countExchange(sent, received int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.counts.Sent++
@@ -319,7 +319,7 @@
 
 // IsChosen tells whether this process is among the n of its role that an epoch's
 // duty falls to.
-func (n *Node) IsChosen(count int) bool { return n.table.IsChosen(count, n.epoch()) }
+func (n *Node) IsChosen(count int) bool { return n.table.IsChosen(count, n.currentEpoch()) }
 
 // Fence is the highest fencing number of orders that this process has heard of.
 func (n *Node) Fence() uint64 {
@@ -336,16 +336,16 @@
 	n.fence = max(n.fence, fence)
 }
 
-func (n *Node) request() *wire.ExchangeRequest {
-	members, loads := n.fresh()
+func (n *Node) newExchangeRequest() *wire.ExchangeRequest {
+	members, loads := n.popUpdates()
 	return &wire.ExchangeRequest{
 		From: n.table.Self().ID, Revision: n.store.View().Revision, MemberDigest: n.table.Digest(),
 		Members: members, Loads: loads, Changes: n.recentChanges(), PlatformAgeMs: n.platformAge().Milliseconds(),
-		Fence: n.Fence(), QuarantineDigest: n.book.Digest(), Quarantine: n.quarantineNews(),
+		Fence: n.Fence(), QuarantineDigest: n.quarantines.Digest(), Quarantine: n.quarantineUpdates(),
 	}
 }
 
-func (n *Node) fresh() ([]*wire.Member, []*wire.LoadReport) {
+func (n *Node) popUpdates() ([]*wire.Member, []*wire.LoadReport) {
 	rows, reports := n.table.TakeFresh(n.cfg.RowsPerExchange, n.cfg.ReportsPerExchange)
 	members := make([]*wire.Member, 0, len(rows))
 	for _, m := range rows {
@@ -358,32 +358,32 @@
 	return members, loads
 }
 
-// takeIn merges what a peer told.
-func (n *Node) takeIn(address string, members []*wire.Member, loads []*wire.LoadReport, changes []*wire.Change, ageMS int64) {
+// mergeUpdates merges what a peer told.
+func (n *Node) mergeUpdates(address string, members []*wire.Member, loads []*wire.LoadReport, changes []*wire.Change, ageMS int64) {
 	now := time.Now()
-	news := false
+	urgent := false
 	for _, m := range members {
 		member := fleet.MemberFromWire(m)
 		if n.table.Merge(member, now) {
 			// Deaths and leavings must not wait: requests still go there.
-			news = news || member.State != fleet.Alive
+			urgent = urgent || member.State != fleet.Alive
 		}
 	}
 	for _, r := range loads {
 		n.table.SetReport(fleet.ReportFromWire(r, now))
 	}
 	if n.applyChanges(changes) {
-		news = true
+		urgent = true
 	}
-	n.sawPlatform(now.Add(-time.Duration(ageMS) * time.Millisecond))
-	if news {
+	n.observePlatformRead(now.Add(-time.Duration(ageMS) * time.Millisecond))
+	if urgent {
 		n.Announce()
 	}
 }
 
-func (n *Node) compare(id, address string, revision, digest uint64) {
+func (n *Node) compareState(id, address string, revision, digest uint64) {
 	if revision > n.store.View().Revision {
-		n.repair.TryPush(repairJob{address: address})
+		n.repairs.TryPush(repairJob{address: address})
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -394,73 +394,73 @@
 	n.mismatches[id]++
 	if n.mismatches[id] >= mismatchesBeforeFetch {
 		delete(n.mismatches, id)
-		n.repair.TryPush(repairJob{address: address, members: true})
+		n.repairs.TryPush(repairJob{address: address, members: true})
 	}
 }
 
 func (n *Node) platformAge() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.platformAt.IsZero() {
-		return never
+	if n.platformReadAt.IsZero() {
+		return maxPlatformAge
 	}
-	return min(never, time.Since(n.platformAt))
+	return min(maxPlatformAge, time.Since(n.platformReadAt))
 }
 
-func (n *Node) sawPlatform(at time.Time) {
+func (n *Node) observePlatformRead(at time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if at.After(n.platformAt) {
-		n.platformAt = at
+	if at.After(n.platformReadAt) {
+		n.platformReadAt = at
 	}
 }
 
-func (n *Node) expireDuty(ctx context.Context) {
+func (n *Node) expiryLoop(ctx context.Context) {
 	for sleep.For(ctx, n.cfg.ProbeInterval/2) {
 		for _, m := range n.table.Expire(time.Now()) {
-			n.zap.Info("member dead", zap.String("member", m.ID), zap.String("host", m.Host))
+			n.logger.Info("member dead", zap.String("member", m.ID), zap.String("host", m.Host))
 			n.Announce()
 		}
 	}
 }
 
-// reconnectDuty reaches out to members thought dead. After a partition both
+// reconnectLoop reaches out to members thought dead. After a partition both
 // sides hold the other for dead and would never speak again by themselves; one
 // exchange lets the member refute, and the news spreads from there.
-func (n *Node) reconnectDuty(ctx context.Context) {
+func (n *Node) reconnectLoop(ctx context.Context) {
 	for sleep.For(ctx, jitter(n.cfg.ReconnectInterval)) {
 		dead := n.table.DeadMembers()
 		if len(dead) > 0 {
 			m := dead[rand.IntN(len(dead))]
-			n.reintroduce(ctx, m)
+			n.reconnect(ctx, m)
 		}
 	}
 }
 
-// joinDuty looks for the fleet while this process knows nobody: at its start the
+// joinLoop looks for the fleet while this process knows nobody: at its start the
 // host list may have lagged or named only hosts that are gone.
-func (n *Node) joinDuty(ctx context.Context) {
-	const every = time.Second
-	for sleep.For(ctx, jitter(every)) {
+func (n *Node) joinLoop(ctx context.Context) {
+	const interval = time.Second
+	for sleep.For(ctx, jitter(interval)) {
 		if n.table.Size() == 1 && n.join(ctx) {
 			n.Announce()
 		}
 	}
 }
 
-// reintroduce tells a member that it is thought dead; its answer refutes that.
-func (n *Node) reintroduce(ctx context.Context, m fleet.Member) {
+// reconnect tells a member that it is thought dead; its answer refutes that.
+func (n *Node) reconnect(ctx context.Context, m fleet.Member) {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.CallTimeout)
 	defer cancel()
-	req := n.request()
+	req := n.newExchangeRequest()
 	req.Members = append(req.Members, m.ToWire())
 	resp, err := n.peers.Exchange(ctx, m.Address, req)
 	if err != nil {
 		return
 	}
 	n.RaiseFence(resp.GetFence())
-	n.takeIn(m.Address, resp.GetMembers(), resp.GetLoads(), resp.GetChanges(), resp.GetPlatformAgeMs())
-	n.takeQuarantines(m.Address, resp.GetQuarantine(), resp.GetQuarantineDigest())
-	n.repair.TryPush(repairJob{address: m.Address, members: true})
+	n.mergeUpdates(m.Address, resp.GetMembers(), resp.GetLoads(), resp.GetChanges(), resp.GetPlatformAgeMs())
+	n.mergeQuarantines(m.Address, resp.GetQuarantine(), resp.GetQuarantineDigest())
+	n.repairs.TryPush(repairJob{address: m.Address, members: true})
 	n.Announce()
 }
--- a/internal/coordination/gossip/platform.go
+++ b/internal/coordination/gossip/platform.go
@@ -16,24 +16,24 @@
 )
 
 func (n *Node) isWatcher() bool {
-	return n.table.IsWatcher(n.cfg.WatchersPerDomain, n.epoch())
+	return n.table.IsWatcher(n.cfg.WatchersPerDomain, n.currentEpoch())
 }
 
-func (n *Node) countPlatform() {
+func (n *Node) countPlatformCall() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.counts.PlatformCalls++
 }
 
-// watchDuty watches the platform while this process is one of its domain's
+// platformWatchLoop watches the platform while this process is one of its domain's
 // watchers. Others read it only when nobody has for long, at a rate that the
 // whole fleet shares by arithmetic: an outage must not end in a stampede.
-func (n *Node) watchDuty(ctx context.Context) {
+func (n *Node) platformWatchLoop(ctx context.Context) {
 	var head configlog.Head
 	failures := 0
 	for ctx.Err() == nil {
 		if !n.isWatcher() {
-			if !sleep.For(ctx, n.rescueWait()) {
+			if !sleep.For(ctx, n.fallbackWait()) {
 				return
 			}
 			if n.isWatcher() || n.platformAge() < n.cfg.PlatformStaleAfter {
@@ -53,11 +53,11 @@
 	}
 }
 
-// rescueWait is drawn from an interval that grows with the fleet, so that all
+// fallbackWait is drawn from an interval that grows with the fleet, so that all
 // members together read at most RescueRate times a second.
-func (n *Node) rescueWait() time.Duration {
-	spread := time.Duration(float64(n.table.Size()) / n.cfg.FallbackReadRate * float64(time.Second))
-	return time.Second + time.Duration(rand.Float64()*2*float64(spread))
+func (n *Node) fallbackWait() time.Duration {
+	interval := time.Duration(float64(n.table.Size()) / n.cfg.FallbackReadRate * float64(time.Second))
+	return time.Second + time.Duration(rand.Float64()*2*float64(interval))
 }
 
 // backoff doubles from 0.1 s to 10 s with full jitter.
@@ -69,8 +69,8 @@
 func (n *Node) readHead(ctx context.Context, after configlog.Head) (configlog.Head, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.WatchTimeout+5*time.Second)
 	defer cancel()
-	n.countPlatform()
-	head, err := n.log.Watch(ctx, after, n.cfg.WatchTimeout)
+	n.countPlatformCall()
+	head, err := n.configLog.Watch(ctx, after, n.cfg.WatchTimeout)
 	if err != nil {
 		return after, err
 	}
@@ -79,21 +79,21 @@
 
 func (n *Node) catchUp(ctx context.Context, head configlog.Head) error {
 	before := n.store.View().Revision
-	if err := n.log.CatchUp(ctx, n.store, head); err != nil {
-		n.zap.Warn("configuration not read", zap.Error(err))
+	if err := n.configLog.CatchUp(ctx, n.store, head); err != nil {
+		n.logger.Warn("configuration not read", zap.Error(err))
 		return err
 	}
-	n.sawPlatform(time.Now())
+	n.observePlatformRead(time.Now())
 	if after := n.store.View().Revision; after != before {
-		n.zap.Info("configuration in force", zap.Uint64("revision", after), zap.String("from", "platform"))
+		n.logger.Info("configuration in force", zap.Uint64("revision", after), zap.String("from", "platform"))
 		n.Announce()
 	}
 	return nil
 }
 
-// hostsDuty reads the host list while this process is a watcher and spreads
+// hostListLoop reads the host list while this process is a watcher and spreads
 // which hosts are leaving.
-func (n *Node) hostsDuty(ctx context.Context) {
+func (n *Node) hostListLoop(ctx context.Context) {
 	for sleep.For(ctx, jitter(n.cfg.HostListInterval)) {
 		if n.hosts == nil || !n.isWatcher() {
 			continue
@@ -104,30 +104,30 @@
 		}
 		for _, h := range hosts {
 			if h.State == hostlist.Leaving && n.table.MarkLeaving(h.ID, time.Now()) {
-				n.zap.Info("host leaving", zap.String("host", h.ID))
+				n.logger.Info("host leaving", zap.String("host", h.ID))
 				n.Announce()
 			}
 		}
-		n.meetUnknown(ctx, hosts)
+		n.contactUnknownHosts(ctx, hosts)
 	}
 }
 
-// meetUnknown speaks to a listed process that is missing from the table: it may
+// contactUnknownHosts speaks to a listed process that is missing from the table: it may
 // have started while nobody it could reach was listed.
-func (n *Node) meetUnknown(ctx context.Context, hosts []hostlist.Host) {
-	const atOnce = 3
+func (n *Node) contactUnknownHosts(ctx context.Context, hosts []hostlist.Host) {
+	const maxContacts = 3
 	known := map[string]bool{"": true, n.table.Self().Address: true}
 	for _, m := range n.table.Members() {
 		known[m.Address] = true
 	}
-	met := 0
+	contacted := 0
 	for _, i := range rand.Perm(len(hosts)) {
-		if met == atOnce {
+		if contacted == maxContacts {
 			return
 		}
 		if !known[hosts[i].Address] {
-			met++
-			n.calls.Go(func() { n.joinOne(ctx, hosts[i].Address) })
+			contacted++
+			n.calls.Go(func() { n.joinThrough(ctx, hosts[i].Address) })
 		}
 	}
 }
@@ -152,8 +152,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*n.cfg.CallTimeout)
 	defer cancel()
-	n.countPlatform()
-	head, err := n.log.Read(ctx)
+	n.countPlatformCall()
+	head, err := n.configLog.Read(ctx)
 	if err == nil {
 		err = n.catchUp(ctx, head)
 	}
@@ -165,20 +165,20 @@
 
 // join introduces this process to some seeds and takes over what they know.
 func (n *Node) join(ctx context.Context) bool {
-	const wanted = 3
+	const maxSeeds = 3
 	reached := 0
-	for _, address := range n.seeds(ctx) {
-		if reached == wanted || ctx.Err() != nil {
+	for _, address := range n.seedAddresses(ctx) {
+		if reached == maxSeeds || ctx.Err() != nil {
 			break
 		}
-		if n.joinOne(ctx, address) {
+		if n.joinThrough(ctx, address) {
 			reached++
 		}
 	}
 	return reached > 0
 }
 
-func (n *Node) seeds(ctx context.Context) []string {
+func (n *Node) seedAddresses(ctx context.Context) []string {
 	own := n.table.Self().Address
 	var addresses []string
 	if n.hosts != nil {
@@ -198,35 +198,35 @@
 	return addresses
 }
 
-func (n *Node) joinOne(ctx context.Context, address string) bool {
+func (n *Node) joinThrough(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.CallTimeout)
 	defer cancel()
 	members, err := n.peers.FetchMembers(ctx, address)
 	if err != nil {
 		return false
 	}
-	n.learn(members.GetMembers())
+	n.mergeTable(members.GetMembers())
 	if !n.fetchConfig(ctx, address) {
 		return false
 	}
-	req := n.request()
+	req := n.newExchangeRequest()
 	req.Members = append(req.Members, n.table.Self().ToWire())
 	_, err = n.peers.Exchange(ctx, address, req)
 	return err == nil
 }
 
-// learn takes in a whole table.
-func (n *Node) learn(members []*wire.Member) {
+// mergeTable takes in a whole table.
+func (n *Node) mergeTable(members []*wire.Member) {
 	now := time.Now()
 	for _, m := range members {
 		n.table.Learn(fleet.MemberFromWire(m), now)
 	}
 }
 
-// repairDuty fetches what a peer has and this process lacks.
-func (n *Node) repairDuty(ctx context.Context) {
+// repairLoop fetches what a peer has and this process lacks.
+func (n *Node) repairLoop(ctx context.Context) {
 	for {
-		job, err := n.repair.Pop(ctx)
+		job, err := n.repairs.Pop(ctx)
 		if err != nil {
 			return
 		}
@@ -246,7 +246,7 @@
 	}
 	members, err := n.peers.FetchMembers(ctx, job.address)
 	if err == nil {
-		n.learn(members.GetMembers())
+		n.mergeTable(members.GetMembers())
 	}
 }
 
@@ -258,15 +258,15 @@
 	if len(resp.GetSnapshot()) > 0 {
 		view, err := config.DecodeView(resp.GetSnapshot())
 		if err != nil {
-			n.zap.Error("peer sent a malformed snapshot", zap.String("peer", address), zap.Error(err))
+			n.logger.Error("peer sent a malformed snapshot", zap.String("peer", address), zap.Error(err))
 			return false
 		}
 		n.store.Load(view)
 	}
 	n.RaiseFence(resp.GetFence())
-	n.sawPlatform(time.Now().Add(-time.Duration(resp.GetPlatformAgeMs()) * time.Millisecond))
+	n.observePlatformRead(time.Now().Add(-time.Duration(resp.GetPlatformAgeMs()) * time.Millisecond))
 	if n.applyChanges(resp.GetChanges()) || len(resp.GetSnapshot()) > 0 {
-		n.zap.Info("configuration in force", zap.Uint64("revision", n.store.View().Revision), zap.String("from", address))
+		n.logger.Info("configuration in force", zap.Uint64("revision", n.store.View().Revision), zap.String("from", address))
 		n.Announce()
 	}
 	return true
@@ -278,7 +278,7 @@
 	for _, w := range changes {
 		c, err := config.DecodeChange(w.GetDocument())
 		if err != nil {
-			n.zap.Error("peer sent a malformed change", zap.Uint64("revision", w.GetRevision()), zap.Error(err))
+			n.logger.Error("peer sent a malformed change", zap.Uint64("revision", w.GetRevision()), zap.Error(err))
 			break
 		}
 		if n.store.Apply(c) != nil {
@@ -293,25 +293,25 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	revision := n.store.View().Revision
-	if revision != n.pushed.revision {
-		n.pushed = pushState{revision: revision, left: n.cfg.Fanout * 2}
+	if revision != n.changePush.revision {
+		n.changePush = pushState{revision: revision, remaining: n.cfg.Fanout * 2}
 	}
-	if n.pushed.left == 0 || revision == 0 {
+	if n.changePush.remaining == 0 || revision == 0 {
 		return nil
 	}
-	n.pushed.left--
+	n.changePush.remaining--
 	changes, ok := n.store.Since(revision - 1)
 	if !ok {
 		return nil
 	}
-	return toWire(changes)
+	return changesToWire(changes)
 }
 
 // pushState counts how often the newest change is still pushed unasked.
 type pushState struct {
-	revision uint64
-	left     int
+	revision  uint64
+	remaining int
 }
 
-// never is an age that tells nothing.
-const never = 24 * time.Hour
+// maxPlatformAge is an age that tells nothing.
+const maxPlatformAge = 24 * time.Hour
--- a/internal/coordination/gossip/quarantine.go
+++ b/internal/coordination/gossip/quarantine.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// quarantineNewsBytes bound what an exchange carries of them.
-	quarantineNewsBytes = 200
-	// quarantinesPerRepair are told at once to a peer that lacks some.
-	quarantinesPerRepair = 14
+	// maxQuarantineUpdateBytes bound what an exchange carries of them.
+	maxQuarantineUpdateBytes = 200
+	// maxQuarantinesPerRepair are told at once to a peer that lacks some.
+	maxQuarantinesPerRepair = 14
 )
 
-// quarantineDuty has news of requests that crash endpoints pushed at once.
-func (n *Node) quarantineDuty(ctx context.Context) {
+// quarantineLoop has news of requests that crash endpoints pushed at once.
+func (n *Node) quarantineLoop(ctx context.Context) {
 	for {
 		select {
-		case <-n.book.UrgentPending():
+		case <-n.quarantines.UrgentPending():
 			n.Announce()
 		case <-ctx.Done():
 			return
@@ -29,25 +29,25 @@
 	}
 }
 
-// quarantineNews is what an exchange carries: news, and quarantines if some peer has others.
-func (n *Node) quarantineNews() []*wire.QuarantineCase {
-	if n.book.IsEmpty() {
+// quarantineUpdates is what an exchange carries: news, and quarantines if some peer has others.
+func (n *Node) quarantineUpdates() []*wire.QuarantineCase {
+	if n.quarantines.IsEmpty() {
 		return nil
 	}
 	now := time.Now()
-	cases := n.book.PopUpdates(quarantineNewsBytes, now)
-	if n.tellQuarantines.Swap(false) {
-		cases = append(cases, quarantine.Sample(n.book.DurableRecords(), quarantinesPerRepair)...)
+	records := n.quarantines.PopUpdates(maxQuarantineUpdateBytes, now)
+	if n.quarantinesDiffer.Swap(false) {
+		records = append(records, quarantine.Sample(n.quarantines.DurableRecords(), maxQuarantinesPerRepair)...)
 	}
-	return quarantine.RecordsToWire(cases, now)
+	return quarantine.RecordsToWire(records, now)
 }
 
-// takeQuarantines takes in what a peer told, and notes whether it has other quarantines.
-func (n *Node) takeQuarantines(peer string, cases []*wire.QuarantineCase, digest uint64) {
-	if err := n.book.MergeWire(cases, time.Now()); err != nil {
-		n.zap.Warn("quarantines of a peer do not decode", zap.String("peer", peer), zap.Error(err))
+// mergeQuarantines takes in what a peer told, and notes whether it has other quarantines.
+func (n *Node) mergeQuarantines(peer string, cases []*wire.QuarantineCase, digest uint64) {
+	if err := n.quarantines.MergeWire(cases, time.Now()); err != nil {
+		n.logger.Warn("quarantines of a peer do not decode", zap.String("peer", peer), zap.Error(err))
 	}
-	if n.book.Digest() != digest {
-		n.tellQuarantines.Store(true)
+	if n.quarantines.Digest() != digest {
+		n.quarantinesDiffer.Store(true)
 	}
 }
--- a/internal/coordination/gossip/serve.go
+++ b/internal/coordination/gossip/serve.go
@@ -12,19 +12,19 @@
 // HandleExchange answers a peer's gossip round.
 func (n *Node) HandleExchange(_ context.Context, r *wire.ExchangeRequest) (*wire.ExchangeResponse, error) {
 	n.RaiseFence(r.GetFence())
-	n.takeIn("", r.GetMembers(), r.GetLoads(), r.GetChanges(), r.GetPlatformAgeMs())
-	n.takeQuarantines(r.GetFrom(), r.GetQuarantine(), r.GetQuarantineDigest())
-	members, loads := n.fresh()
+	n.mergeUpdates("", r.GetMembers(), r.GetLoads(), r.GetChanges(), r.GetPlatformAgeMs())
+	n.mergeQuarantines(r.GetFrom(), r.GetQuarantine(), r.GetQuarantineDigest())
+	members, loads := n.popUpdates()
 	resp := &wire.ExchangeResponse{
 		Revision: n.store.View().Revision, MemberDigest: n.table.Digest(),
 		Members: members, Loads: loads, PlatformAgeMs: n.platformAge().Milliseconds(), Fence: n.Fence(),
-		QuarantineDigest: n.book.Digest(), Quarantine: n.quarantineNews(),
+		QuarantineDigest: n.quarantines.Digest(), Quarantine: n.quarantineUpdates(),
 	}
 	if changes, ok := n.store.Since(r.GetRevision()); ok && len(changes) <= maxChangesPerExchange {
-		resp.Changes = toWire(changes)
+		resp.Changes = changesToWire(changes)
 	}
 	if sender, known := n.table.Get(r.GetFrom()); known {
-		n.compare(sender.ID, sender.Address, r.GetRevision(), r.GetMemberDigest())
+		n.compareState(sender.ID, sender.Address, r.GetRevision(), r.GetMemberDigest())
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -35,7 +35,7 @@
 	return resp, nil
 }
 
-func toWire(changes []config.Change) []*wire.Change {
+func changesToWire(changes []config.Change) []*wire.Change {
 	out := make([]*wire.Change, 0, len(changes))
 	for _, c := range changes {
 		document, err := config.EncodeChange(c)
@@ -51,7 +51,7 @@
 func (n *Node) HandleFetchConfig(_ context.Context, r *wire.FetchConfigRequest) (*wire.FetchConfigResponse, error) {
 	resp := &wire.FetchConfigResponse{Revision: n.store.View().Revision, PlatformAgeMs: n.platformAge().Milliseconds(), Fence: n.Fence()}
 	if changes, ok := n.store.Since(r.GetHaveRevision()); ok {
-		resp.Changes = toWire(changes)
+		resp.Changes = changesToWire(changes)
 		return resp, nil
 	}
 	view := n.store.View()
@@ -76,6 +76,6 @@
 func (n *Node) HandleProbe(ctx context.Context, r *wire.ProbeRequest) (*wire.ProbeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.ProbeTimeout)
 	defer cancel()
-	_, err := n.peers.Exchange(ctx, r.GetAddress(), n.request())
+	_, err := n.peers.Exchange(ctx, r.GetAddress(), n.newExchangeRequest())
 	return &wire.ProbeResponse{Alive: err == nil}, nil
 }
