--- a/internal/coordination/gossip/cluster_test.go
+++ b/internal/coordination/gossip/cluster_test.go
@@ -32,12 +32,12 @@
 	mu    sync.Mutex
 	down  bool
 	calls int
-	// perSecond counts calls by second, to find the peak.
-	perSecond map[int64]int
+	// callsPerSecond counts calls by second, to find the peak.
+	callsPerSecond map[int64]int
 }
 
 func newPlatform() *platform {
-	return &platform{Store: standin.New(), perSecond: map[int64]int{}}
+	return &platform{Store: standin.New(), callsPerSecond: map[int64]int{}}
 }
 
 func (p *platform) setDown(down bool) {
@@ -46,56 +46,56 @@
 	p.down = down
 }
 
-func (p *platform) enter() error {
+func (p *platform) recordCall() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
-	p.perSecond[time.Now().Unix()]++
+	p.callsPerSecond[time.Now().Unix()]++
 	if p.down {
 		return objectapi.ErrUnavailable
 	}
 	return nil
 }
 
-func (p *platform) peak() int {
+func (p *platform) popPeak() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	most := 0
-	for _, n := range p.perSecond {
+	for _, n := range p.callsPerSecond {
 		most = max(most, n)
 	}
-	clear(p.perSecond)
+	clear(p.callsPerSecond)
 	return most
 }
 
 func (p *platform) Get(ctx context.Context, key string) (objectapi.Object, error) {
-	if err := p.enter(); err != nil {
+	if err := p.recordCall(); err != nil {
 		return objectapi.Object{}, err
 	}
 	return p.Store.Get(ctx, key)
 }
 
 func (p *platform) Put(ctx context.Context, key string, value []byte, version int64) (objectapi.Object, error) {
-	if err := p.enter(); err != nil {
+	if err := p.recordCall(); err != nil {
 		return objectapi.Object{}, err
 	}
 	return p.Store.Put(ctx, key, value, version)
 }
 
 func (p *platform) Watch(ctx context.Context, key string, version int64, wait time.Duration) (objectapi.Object, error) {
-	if err := p.enter(); err != nil {
+	if err := p.recordCall(); err != nil {
 		return objectapi.Object{}, err
 	}
 	return p.Store.Watch(ctx, key, version, wait)
 }
 
-// hosts is the host list, down when the platform is.
-type hosts struct {
+// hostList is the host list, down when the platform is.
+type hostList struct {
 	*hoststandin.List
 	platform *platform
 }
 
-func (h hosts) Hosts(ctx context.Context) ([]hostlist.Host, error) {
+func (h hostList) Hosts(ctx context.Context) ([]hostlist.Host, error) {
 	h.platform.mu.Lock()
 	down := h.platform.down
 	h.platform.mu.Unlock()
@@ -109,12 +109,12 @@
 type cluster struct {
 	t        *testing.T
 	platform *platform
-	hosts    hosts
+	hosts    hostList
 
 	mu    sync.Mutex
 	nodes map[string]*member
-	// cut tells which messages are lost.
-	cut func(from, to *member) bool
+	// isCut tells which messages are lost.
+	isCut func(from, to *member) bool
 }
 
 type member struct {
@@ -129,8 +129,8 @@
 func newCluster(t *testing.T) *cluster {
 	p := newPlatform()
 	return &cluster{
-		t: t, platform: p, hosts: hosts{hoststandin.New(0), p}, nodes: map[string]*member{},
-		cut: func(_, _ *member) bool { return false },
+		t: t, platform: p, hosts: hostList{hoststandin.New(0), p}, nodes: map[string]*member{},
+		isCut: func(_, _ *member) bool { return false },
 	}
 }
 
@@ -147,7 +147,7 @@
 func (n network) reach(ctx context.Context, address string) (*member, error) {
 	n.c.mu.Lock()
 	to := n.c.nodes[address]
-	lost := to == nil || to.paused || n.from.paused || n.c.cut(n.from, to) || n.c.cut(to, n.from)
+	lost := to == nil || to.paused || n.from.paused || n.c.isCut(n.from, to) || n.c.isCut(to, n.from)
 	n.c.mu.Unlock()
 	if lost {
 		<-ctx.Done()
@@ -191,17 +191,17 @@
 
 // start runs a process; the platform lists its host.
 func (c *cluster) start(id, domain, region string) *member {
-	return c.startWith(gossip.DefaultConfig(), id, domain, region)
+	return c.startWithConfig(gossip.DefaultConfig(), id, domain, region)
 }
 
-// startSeeded runs a process that knows one other by its settings.
-func (c *cluster) startSeeded(id, domain, seed string) *member {
+// startWithSeed runs a process that knows one other by its settings.
+func (c *cluster) startWithSeed(id, domain, seed string) *member {
 	cfg := gossip.DefaultConfig()
 	cfg.Seeds = []string{seed}
-	return c.startWith(cfg, id, domain, "region-"+domain[:1])
+	return c.startWithConfig(cfg, id, domain, "region-"+domain[:1])
 }
 
-func (c *cluster) startWith(cfg gossip.Config, id, domain, region string) *member {
+func (c *cluster) startWithConfig(cfg gossip.Config, id, domain, region string) *member {
 	m := &member{id: id, domain: domain, region: region, store: config.NewStore(), done: make(chan struct{})}
 	now := time.Now()
 	table := fleet.NewTable(fleet.DefaultConfig(), fleet.Member{
@@ -245,16 +245,16 @@
 	<-m.done
 }
 
-func (c *cluster) end() {
-	for _, m := range c.all() {
+func (c *cluster) stopAll() {
+	for _, m := range c.members() {
 		m.stop()
 	}
-	for _, m := range c.all() {
+	for _, m := range c.members() {
 		<-m.done
 	}
 }
 
-func (c *cluster) all() []*member {
+func (c *cluster) members() []*member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]*member, 0, len(c.nodes))
@@ -267,7 +267,7 @@
 func (c *cluster) setCut(cut func(from, to *member) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut = cut
+	c.isCut = cut
 }
 
 func (c *cluster) pause(id string, paused bool) {
@@ -276,26 +276,26 @@
 	c.nodes[id].paused = paused
 }
 
-// accept confirms a change of the configuration through any live member.
-func (c *cluster) accept(number int) uint64 {
-	m := c.all()[0]
+// confirmChange confirms a change of the configuration through any live member.
+func (c *cluster) confirmChange(number int) uint64 {
+	m := c.members()[0]
 	confirmer := &plan.Confirmer{Log: configlog.New(c.platform), Store: m.store, Salt: func() []byte { return []byte("salt") }, Now: time.Now, MaxTries: 16}
 	request := plan.Request{Put: []config.Document{{
 		Ref:  config.Ref{Kind: config.KindService, ID: fmt.Sprintf("service-%d", number)},
 		Spec: []byte(`{"kind":"prompt","customers":["*"],"objective":{},"limits":{}}`),
 	}}}
 	p := plan.New(m.store.View(), request, nil, "op", fmt.Sprint(number), time.Now())
-	verdict := confirmer.Confirm(context.Background(), p)
-	if verdict.Outcome != plan.Applied {
-		c.t.Fatalf("confirm: %+v", verdict)
+	result := confirmer.Confirm(context.Background(), p)
+	if result.Outcome != plan.Applied {
+		c.t.Fatalf("confirm: %+v", result)
 	}
 	m.node.Announce()
-	return verdict.Revision
+	return result.Revision
 }
 
-// until advances the clock in small steps until check holds, and returns the
+// waitFor advances the clock in small steps waitFor check holds, and returns the
 // time it took; it fails the test after limit.
-func (c *cluster) until(what string, limit time.Duration, check func() bool) time.Duration {
+func (c *cluster) waitFor(what string, limit time.Duration, check func() bool) time.Duration {
 	c.t.Helper()
 	began := time.Now()
 	for !check() {
@@ -307,9 +307,9 @@
 	return time.Since(began)
 }
 
-// everyone tells whether check holds at all live members.
-func (c *cluster) everyone(check func(m *member) bool) bool {
-	for _, m := range c.all() {
+// holdsForAll tells whether check holds at all live members.
+func (c *cluster) holdsForAll(check func(m *member) bool) bool {
+	for _, m := range c.members() {
 		if !check(m) {
 			return false
 		}
@@ -317,10 +317,10 @@
 	return true
 }
 
-func (c *cluster) everyoneSees(size int) func() bool {
-	return func() bool { return c.everyone(func(m *member) bool { return m.node.Table().Size() == size }) }
+func (c *cluster) allSeeSize(size int) func() bool {
+	return func() bool { return c.holdsForAll(func(m *member) bool { return m.node.Table().Size() == size }) }
 }
 
-func (c *cluster) everyoneAt(revision uint64) func() bool {
-	return func() bool { return c.everyone(func(m *member) bool { return m.store.View().Revision >= revision }) }
+func (c *cluster) allAtRevision(revision uint64) func() bool {
+	return func() bool { return c.holdsForAll(func(m *member) bool { return m.store.View().Revision >= revision }) }
 }
--- a/internal/coordination/gossip/gossip_test.go
+++ b/internal/coordination/gossip/gossip_test.go
@@ -13,11 +13,11 @@
 
 var domains = []string{"a1", "a2", "b1"}
 
-// run runs a test in a bubble with its own clock.
-func run(t *testing.T, test func(c *cluster)) {
+// runCluster runs a test in a bubble with its own clock.
+func runCluster(t *testing.T, test func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
-		defer c.end()
+		defer c.stopAll()
 		test(c)
 	})
 }
@@ -28,15 +28,15 @@
 // within 1 s and all within 10 s, though only two processes of each failure
 // domain watch the platform.
 func TestChangeReachesAll(t *testing.T) {
-	run(t, func(c *cluster) {
+	runCluster(t, func(c *cluster) {
 		c.startMany(60, domains...)
-		c.until("all know all", 30*time.Second, c.everyoneSees(60))
+		c.waitFor("all know all", 30*time.Second, c.allSeeSize(60))
 		for number := range 5 {
-			revision := c.accept(number)
+			revision := c.confirmChange(number)
 			accepted := time.Now()
 			arrived := map[string]time.Duration{}
-			c.until("in force everywhere", 10*time.Second, func() bool {
-				for _, m := range c.all() {
+			c.waitFor("in force everywhere", 10*time.Second, func() bool {
+				for _, m := range c.members() {
 					if _, ok := arrived[m.id]; !ok && m.store.View().Revision >= revision {
 						arrived[m.id] = time.Since(accepted)
 					}
@@ -62,13 +62,13 @@
 // suspect it, and after the time to refute every table holds it for dead,
 // within 5 s.
 func TestDeadHostLeavesEveryView(t *testing.T) {
-	run(t, func(c *cluster) {
+	runCluster(t, func(c *cluster) {
 		c.startMany(60, domains...)
-		c.until("all know all", 30*time.Second, c.everyoneSees(60))
+		c.waitFor("all know all", 30*time.Second, c.allSeeSize(60))
 		for _, id := range []string{"n007", "n031", "n055"} {
 			c.kill(id)
-			took := c.until(id+" is dead in every view", 5*time.Second, func() bool {
-				return c.everyone(func(m *member) bool {
+			took := c.waitFor(id+" is dead in every view", 5*time.Second, func() bool {
+				return c.holdsForAll(func(m *member) bool {
 					row, _ := m.node.Table().Get(id)
 					return row.State == fleet.Dead
 				})
@@ -81,12 +81,12 @@
 // TestLeavingHostLeavesEveryView lets the host list alone say that a host
 // leaves; within 3 s no view offers it for new work.
 func TestLeavingHostLeavesEveryView(t *testing.T) {
-	run(t, func(c *cluster) {
+	runCluster(t, func(c *cluster) {
 		c.startMany(60, domains...)
-		c.until("all know all", 30*time.Second, c.everyoneSees(60))
+		c.waitFor("all know all", 30*time.Second, c.allSeeSize(60))
 		c.hosts.Set(hostlist.Host{ID: "n020", Domain: "b1", State: hostlist.Leaving, Address: "n020"})
-		took := c.until("leaving in every view", 3*time.Second, func() bool {
-			return c.everyone(func(m *member) bool {
+		took := c.waitFor("leaving in every view", 3*time.Second, func() bool {
+			return c.holdsForAll(func(m *member) bool {
 				row, _ := m.node.Table().Get("n020")
 				return row.State == fleet.Leaving
 			})
@@ -101,16 +101,16 @@
 // eight seconds is, and when it goes on it refutes that with a higher version:
 // every view has it alive again without an operator.
 func TestPausedProcessReturns(t *testing.T) {
-	run(t, func(c *cluster) {
+	runCluster(t, func(c *cluster) {
 		c.startMany(40, domains...)
-		c.until("all know all", 30*time.Second, c.everyoneSees(40))
+		c.waitFor("all know all", 30*time.Second, c.allSeeSize(40))
 		for i := range 10 {
 			id := fmt.Sprintf("n%03d", i)
 			c.pause(id, true)
 			time.Sleep(time.Second)
 			c.pause(id, false)
 			time.Sleep(5 * time.Second)
-			if !c.everyoneSees(40)() {
+			if !c.allSeeSize(40)() {
 				t.Errorf("%s was declared dead for a pause of a second", id)
 			}
 		}
@@ -120,20 +120,20 @@
 			t.Errorf("paused for 8 s and %s", row.State)
 		}
 		c.pause("n011", false)
-		took := c.until("alive again everywhere", 30*time.Second, c.everyoneSees(40))
+		took := c.waitFor("alive again everywhere", 30*time.Second, c.allSeeSize(40))
 		t.Logf("alive everywhere %s after the pause", took)
 	})
 }
 
-// TestOneWayLossIsNotDeath drops all messages between two processes.
+// TestBrokenLinkCausesNoSuspicion drops all messages between two processes.
 //
 // Each reaches everybody else. The prober asks two others, they reach the
 // member, and nobody even suspects it.
-func TestOneWayLossIsNotDeath(t *testing.T) {
-	run(t, func(c *cluster) {
+func TestBrokenLinkCausesNoSuspicion(t *testing.T) {
+	runCluster(t, func(c *cluster) {
 		c.startMany(20, domains...)
-		c.until("all know all", 30*time.Second, c.everyoneSees(20))
-		first := c.all()[0]
+		c.waitFor("all know all", 30*time.Second, c.allSeeSize(20))
+		first := c.members()[0]
 		prober, victim := first.id, first.node.Table().Successors(1)[0].ID
 		c.setCut(func(from, to *member) bool { return from.id == prober && to.id == victim })
 		before, _ := first.node.Table().Get(victim)
@@ -147,28 +147,28 @@
 	})
 }
 
-// TestRegionSplitHeals cuts two regions apart for ten minutes.
+// TestRegionPartitionHeals cuts two regions apart for ten minutes.
 //
 // Each side goes on with its own members. A change accepted meanwhile (the
 // platform is reached from both) is in force on both sides; after the split all
 // views are whole again without an operator.
-func TestRegionSplitHeals(t *testing.T) {
-	run(t, func(c *cluster) {
+func TestRegionPartitionHeals(t *testing.T) {
+	runCluster(t, func(c *cluster) {
 		c.startMany(30, domains...)
-		c.until("all know all", 30*time.Second, c.everyoneSees(30))
+		c.waitFor("all know all", 30*time.Second, c.allSeeSize(30))
 		c.setCut(func(from, to *member) bool { return from.region != to.region })
-		c.until("each side knows its own", 30*time.Second, func() bool {
-			return c.everyone(func(m *member) bool {
+		c.waitFor("each side knows its own", 30*time.Second, func() bool {
+			return c.holdsForAll(func(m *member) bool {
 				want := map[string]int{"region-a": 20, "region-b": 10}[m.region]
 				return m.node.Table().Size() == want
 			})
 		})
-		revision := c.accept(1)
-		took := c.until("the change is in force on both sides", 10*time.Second, c.everyoneAt(revision))
+		revision := c.confirmChange(1)
+		took := c.waitFor("the change is in force on both sides", 10*time.Second, c.allAtRevision(revision))
 		t.Logf("change in force on both sides after %s", took)
 		time.Sleep(10 * time.Minute)
 		c.setCut(func(_, _ *member) bool { return false })
-		took = c.until("whole again", time.Minute, c.everyoneSees(30))
+		took = c.waitFor("whole again", time.Minute, c.allSeeSize(30))
 		t.Logf("whole %s after the split ended", took)
 	})
 }
@@ -179,22 +179,22 @@
 // The others drop it within 8 s; when its processes start again the fleet is
 // whole, and the platform sees fewer than 200 calls in any second.
 func TestFailureDomainLostAndBack(t *testing.T) {
-	run(t, func(c *cluster) {
+	runCluster(t, func(c *cluster) {
 		c.startMany(60, domains...)
-		revision := c.accept(1)
-		c.until("in force", 30*time.Second, func() bool { return c.everyoneSees(60)() && c.everyoneAt(revision)() })
+		revision := c.confirmChange(1)
+		c.waitFor("in force", 30*time.Second, func() bool { return c.allSeeSize(60)() && c.allAtRevision(revision)() })
 		for i := 2; i < 60; i += 3 {
 			c.kill(fmt.Sprintf("n%03d", i))
 		}
-		took := c.until("the domain left every view", 8*time.Second, c.everyoneSees(40))
+		took := c.waitFor("the domain left every view", 8*time.Second, c.allSeeSize(40))
 		t.Logf("lost domain out of every view after %s", took)
 		time.Sleep(time.Minute)
-		c.platform.peak()
+		c.platform.popPeak()
 		for i := 2; i < 60; i += 3 {
 			c.start(fmt.Sprintf("n%03d", i), "b1", "region-b")
 		}
-		took = c.until("whole and in force", 30*time.Second, func() bool { return c.everyoneSees(60)() && c.everyoneAt(revision)() })
-		peak := c.platform.peak()
+		took = c.waitFor("whole and in force", 30*time.Second, func() bool { return c.allSeeSize(60)() && c.allAtRevision(revision)() })
+		peak := c.platform.popPeak()
 		t.Logf("whole after %s, peak %d platform calls/s", took, peak)
 		if peak >= 200 {
 			t.Errorf("%d platform calls in one second", peak)
@@ -210,13 +210,13 @@
 // new change spreads as usual, and at no time do the processes storm the
 // platform.
 func TestPlatformDownForAnHour(t *testing.T) {
-	run(t, func(c *cluster) {
+	runCluster(t, func(c *cluster) {
 		c.startMany(24, domains...)
-		c.until("all know all", 30*time.Second, c.everyoneSees(24))
-		revision := c.accept(1)
-		c.until("in force", 10*time.Second, c.everyoneAt(revision))
+		c.waitFor("all know all", 30*time.Second, c.allSeeSize(24))
+		revision := c.confirmChange(1)
+		c.waitFor("in force", 10*time.Second, c.allAtRevision(revision))
 		c.platform.setDown(true)
-		c.platform.peak()
+		c.platform.popPeak()
 		for hour := range 6 {
 			time.Sleep(10 * time.Minute)
 			id := fmt.Sprintf("n%03d", hour*4)
@@ -224,29 +224,29 @@
 			c.kill(id)
 			time.Sleep(10 * time.Second)
 			// The host list is down too: the new process starts from a seed.
-			c.startSeeded(id, domain, fmt.Sprintf("n%03d", (hour*4+1)%24))
-			c.until("the restarted process has the change", 10*time.Second, c.everyoneAt(revision))
+			c.startWithSeed(id, domain, fmt.Sprintf("n%03d", (hour*4+1)%24))
+			c.waitFor("the restarted process has the change", 10*time.Second, c.allAtRevision(revision))
 		}
-		peak := c.platform.peak()
+		peak := c.platform.popPeak()
 		t.Logf("peak %d platform calls/s during the outage", peak)
 		if peak >= 200 {
 			t.Errorf("%d platform calls in one second", peak)
 		}
 		c.platform.setDown(false)
-		c.until("a change can be accepted", 30*time.Second, func() bool { return c.everyoneSees(24)() })
-		revision = c.accept(2)
-		took := c.until("in force", 30*time.Second, c.everyoneAt(revision))
+		c.waitFor("a change can be accepted", 30*time.Second, func() bool { return c.allSeeSize(24)() })
+		revision = c.confirmChange(2)
+		took := c.waitFor("in force", 30*time.Second, c.allAtRevision(revision))
 		t.Logf("first change after the outage in force after %s", took)
 	})
 }
 
 // TestThirdOfHostsRestartAtOnce replaces 30 of 100 processes in one moment.
 func TestThirdOfHostsRestartAtOnce(t *testing.T) {
-	run(t, func(c *cluster) {
+	runCluster(t, func(c *cluster) {
 		c.startMany(100, domains...)
-		revision := c.accept(1)
-		c.until("in force", time.Minute, func() bool { return c.everyoneSees(100)() && c.everyoneAt(revision)() })
-		c.platform.peak()
+		revision := c.confirmChange(1)
+		c.waitFor("in force", time.Minute, func() bool { return c.allSeeSize(100)() && c.allAtRevision(revision)() })
+		c.platform.popPeak()
 		for i := range 30 {
 			id := fmt.Sprintf("n%03d", i)
 			c.kill(id)
@@ -254,8 +254,8 @@
 		for i := range 30 {
 			c.start(fmt.Sprintf("n%03d", i), domains[i%3], "region-"+domains[i%3][:1])
 		}
-		took := c.until("whole and in force", time.Minute, func() bool { return c.everyoneSees(100)() && c.everyoneAt(revision)() })
-		peak := c.platform.peak()
+		took := c.waitFor("whole and in force", time.Minute, func() bool { return c.allSeeSize(100)() && c.allAtRevision(revision)() })
+		peak := c.platform.popPeak()
 		t.Logf("whole after %s, peak %d platform calls/s", took, peak)
 		if peak >= 200 {
 			t.Errorf("%d platform calls in one second", peak)
--- a/internal/coordination/gossip/quarantine_test.go
+++ b/internal/coordination/gossip/quarantine_test.go
@@ -13,35 +13,35 @@
 //
 // Wherever the request comes next it is known within seconds, also at those that heard nothing of the crashes.
 func TestQuarantinesReachAll(t *testing.T) {
-	run(t, func(c *cluster) {
+	runCluster(t, func(c *cluster) {
 		c.startMany(60, domains...)
-		c.until("all know all", 30*time.Second, c.everyoneSees(60))
+		c.waitFor("all know all", 30*time.Second, c.allSeeSize(60))
 		key := fingerprint.Of(fingerprint.Request{Target: "/x"}, nil)
-		everyoneRefuses := func() bool {
-			for _, m := range c.all() {
+		allRefuse := func() bool {
+			for _, m := range c.members() {
 				if m.node.Quarantines().Check(key, time.Now()).Standing == quarantine.Clear {
 					return false
 				}
 			}
 			return true
 		}
-		all := c.all()
-		cutOff := all[59]
+		members := c.members()
+		cutOff := members[59]
 		c.setCut(func(from, to *member) bool { return from == cutOff || to == cutOff })
 		for crash := range uint64(3) {
-			all[crash/2].node.Quarantines().RecordCrash(key, crash, quarantine.RequestInfo{}, time.Now())
+			members[crash/2].node.Quarantines().RecordCrash(key, crash, quarantine.RequestInfo{}, time.Now())
 		}
-		c.kill(all[2].id)
+		c.kill(members[2].id)
 		time.Sleep(3 * time.Second)
-		for _, m := range all[:2] {
+		for _, m := range members[:2] {
 			m.node.Quarantines().Evaluate(time.Now())
 		}
-		if len(all[0].node.Quarantines().DurableRecords())+len(all[1].node.Quarantines().DurableRecords()) == 0 {
+		if len(members[0].node.Quarantines().DurableRecords())+len(members[1].node.Quarantines().DurableRecords()) == 0 {
 			t.Fatal("no quarantine")
 		}
 		time.Sleep(2 * time.Second)
 		c.setCut(func(_, _ *member) bool { return false })
 		c.start("late", "a1", "region-a")
-		c.until("every process refuses the request", 10*time.Second, everyoneRefuses)
+		c.waitFor("every process refuses the request", 10*time.Second, allRefuse)
 	})
 }
