--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -1,9 +1,10 @@
-// Package ledger is an agent's record of requests that may not be repeated.
+// Package ledger is an agent's record of requests that may run at most once.
 //
-// The agent mints tickets; each may start one run. The record lives only in
-// this process: a retry through any entry comes to the same incarnation, and
-// when that is gone nobody else can run the ticket. No lease and no platform
-// call is needed, so neither a pause nor an outage can cause a second run.
+// The agent issues tickets, and each ticket may start one run. The records
+// exist only in the memory of this process: a retry through any entry reaches
+// the same incarnation of the agent, and once that incarnation is gone no other
+// process can run the ticket. This needs no lease and no call to the platform,
+// so neither a pause of the process nor an outage can cause a second run.
 package ledger
 
 import (
@@ -14,33 +15,38 @@
 	"github.com/juju/errors"
 )
 
-// Errors of the ledger. The comment of each says whether the request ran.
+// Errors of Begin and Issue. The comment of each says whether the request ran.
 const (
-	// ErrUnknownTicket: the record is gone or was never here; it may have run.
+	// ErrUnknownTicket is returned when this process has no record of the ticket,
+	// or no longer has it; the request may have run.
 	ErrUnknownTicket = errors.ConstError("no record of this ticket")
-	// ErrExpired: the ticket was not used in time; it did not run and never will.
+	// ErrExpired is returned when the ticket was not used within Config.TicketTTL;
+	// the request did not run, and the ticket can never start it.
 	ErrExpired = errors.ConstError("ticket expired unused")
-	// ErrRequestMismatch: the ticket was used for another request; this one did not run.
+	// ErrRequestMismatch is returned when the ticket was used for another request;
+	// this request did not run.
 	ErrRequestMismatch = errors.ConstError("ticket was used for another request")
-	// ErrFull: the bounds on what is kept leave no room; it did not run.
+	// ErrFull is returned when Config.MaxTickets or Config.MaxBytes would be
+	// exceeded; the request did not run.
 	ErrFull = errors.ConstError("record of requests is full")
 )
 
-// Config bounds a ledger.
+// Config holds the time and memory limits of a ledger.
 type Config struct {
-	// TicketTTL is how long an unused ticket may start a run.
+	// TicketTTL is how long after its issue a ticket may start a run.
 	TicketTTL time.Duration
-	// Retention is how long a record outlives its ticket's validity.
+	// Retention is how long a record is retained after its ticket's TTL has passed.
 	Retention time.Duration
-	// MaxTickets bounds the tickets minted and not yet void.
+	// MaxTickets limits the tickets whose TTL and retention haven't both passed.
 	MaxTickets int
-	// MaxBytes bounds all answers kept; AnswerBytes is reserved for each run and
-	// bounds the part of an answer that is kept for replay.
+	// MaxBytes limits the memory for all answers: a run whose reservation would
+	// exceed it isn't started. MaxAnswerBytes is the reservation of each run. A
+	// larger answer uses more while it has followers, and isn't retained for replay.
 	MaxBytes       int64
 	MaxAnswerBytes int64
 }
 
-// DefaultConfig is what agents use.
+// DefaultConfig returns the limits that agents use by default.
 func DefaultConfig() Config {
 	return Config{
 		TicketTTL: 10 * time.Minute, Retention: time.Hour, MaxTickets: 1 << 18,
@@ -48,12 +54,14 @@
 	}
 }
 
+// batch is a range of consecutive ticket sequence numbers issued together.
 type batch struct {
 	first, count uint64
 	issuedAt     time.Time
 }
 
-// Ledger keeps the records of one incarnation; safe for concurrent use.
+// Ledger holds the tickets and records of one incarnation of an agent. It is
+// safe for concurrent use.
 type Ledger struct {
 	cfg         Config
 	incarnation uint64
@@ -70,13 +78,14 @@
 	return &Ledger{cfg: cfg, incarnation: incarnation, nextSequence: 1, records: map[uint64]*Record{}}
 }
 
-// Incarnation names the process that holds the records.
+// Incarnation returns the incarnation of the agent process that holds the records.
 func (l *Ledger) Incarnation() uint64 { return l.incarnation }
 
-// TicketTTL is how long an unused ticket may start a run.
+// TicketTTL returns how long after its issue a ticket may start a run.
 func (l *Ledger) TicketTTL() time.Duration { return l.cfg.TicketTTL }
 
-// Issue hands out count tickets with consecutive sequences, or ErrFull.
+// Issue issues count tickets with consecutive sequence numbers and returns the
+// first number. It returns ErrFull if that would exceed MaxTickets.
 func (l *Ledger) Issue(count int, now time.Time) (first uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,9 +103,10 @@
 	return first, nil
 }
 
-// expire drops whole batches, oldest first. A dropped sequence is below every
-// kept batch, so it is known to be void without a record of its own: memory
-// stays bounded and no dropped ticket can ever start a run.
+// expire removes whole batches, oldest first. The sequence numbers of a removed
+// batch are below those of all remaining batches and are never issued again, so
+// a removed ticket can never start a run, and no record is needed to refuse it:
+// memory stays bounded.
 func (l *Ledger) expire(now time.Time) {
 	for len(l.batches) > 0 {
 		b := l.batches[0]
@@ -122,9 +132,11 @@
 	return batch{}, false
 }
 
-// Begin presents a ticket. started is true for exactly one caller, who must run
-// the request and then call Finish or Abandon on the record; all others follow
-// the record. Errors: see above.
+// Begin returns the record of a ticket, and creates it on first use of the
+// ticket. started is true for the caller that created it: that caller must run
+// the request and then call Finish or Abandon on the record. All other callers
+// follow the record. The errors are ErrUnknownTicket, ErrExpired,
+// ErrRequestMismatch and ErrFull.
 func (l *Ledger) Begin(incarnation, sequence uint64, customer string, digest []byte, now time.Time) (r *Record, started bool, err error) {
 	if incarnation != l.incarnation {
 		return nil, false, ErrUnknownTicket
@@ -145,8 +157,8 @@
 	case now.Sub(b.issuedAt) > l.cfg.TicketTTL:
 		return nil, false, ErrExpired
 	case l.usedBytes+l.cfg.MaxAnswerBytes > l.cfg.MaxBytes:
-		// Refusing new work is the only safe answer: dropping an older record
-		// would turn its next retry into a second run.
+		// Refusing the new run is the only safe choice: if an older record were
+		// removed instead, the next retry of its request would run it again.
 		return nil, false, ErrFull
 	}
 	l.usedBytes += l.cfg.MaxAnswerBytes
@@ -158,21 +170,21 @@
 	return r, true, nil
 }
 
-// UsedBytes is the number of bytes reserved or kept.
+// UsedBytes returns the number of bytes reserved for or used by answers.
 func (l *Ledger) UsedBytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.usedBytes
 }
 
-// Record is the one run of a ticket and its answer.
+// Record holds the state and the answer of the run that a ticket started.
 type Record struct {
 	ledger   *Ledger
 	sequence uint64
 	customer string
 	digest   []byte
 
-	// The fields below are guarded by the ledger's lock.
+	// The fields below are guarded by the ledger's mutex.
 	reservedBytes int64
 	events        []any
 	answerBytes   int64
@@ -182,7 +194,8 @@
 	changed       chan struct{}
 }
 
-// Append adds an event of size bytes.
+// Append adds an event of size bytes to the answer and wakes the followers. It
+// does nothing once the answer has been discarded.
 func (r *Record) Append(event any, size int) {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
@@ -199,8 +212,9 @@
 	r.notify()
 }
 
-// discardIfTooLarge drops an answer that is too large to keep once nobody is reading it: the
-// first caller still gets it whole, a later retry learns that it ran.
+// discardIfTooLarge discards an answer larger than MaxAnswerBytes once nobody
+// follows it: the first caller still gets the whole answer, and a later retry
+// finds that the request ran but not its answer.
 func (r *Record) discardIfTooLarge() {
 	if r.followers > 0 || r.answerBytes <= r.ledger.cfg.MaxAnswerBytes {
 		return
@@ -210,14 +224,15 @@
 	r.reservedBytes = 0
 }
 
-// Follow begins reading the record; call Unfollow at the end.
+// Follow registers a follower of the record. While a record has followers, its
+// answer isn't discarded. Each follower must call Unfollow at the end.
 func (r *Record) Follow() {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
 	r.followers++
 }
 
-// Unfollow ends reading the record.
+// Unfollow removes a follower that Follow registered.
 func (r *Record) Unfollow() {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
@@ -225,7 +240,8 @@
 	r.discardIfTooLarge()
 }
 
-// Finish ends the run; its answer stays for retries.
+// Finish marks the run as ended. Its answer is retained for retries unless it is
+// too large.
 func (r *Record) Finish() {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
@@ -236,8 +252,9 @@
 	r.notify()
 }
 
-// Abandon ends a run that surely did not happen (its endpoint was not reached):
-// the ticket may start again. Followers see the end of the record.
+// Abandon removes the record of a run that certainly did not happen, as its
+// endpoint was not reached: the ticket may start a run again. Followers see the
+// record as done.
 func (r *Record) Abandon() {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
@@ -248,13 +265,15 @@
 	r.notify()
 }
 
+// notify wakes the callers that wait for a change of the record.
 func (r *Record) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// EventsFrom returns the events after the first n, whether the run has ended, whether
-// the answer was not kept, and a channel closed at the next change.
+// EventsFrom returns the events after the first n, whether the run has ended,
+// whether the answer has been discarded, and a channel that is closed at the
+// next change.
 func (r *Record) EventsFrom(n int) (events []any, done, discarded bool, changed <-chan struct{}) {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -21,10 +21,12 @@
 	return l.Begin(l.Incarnation(), seq, customer, []byte(digest), now)
 }
 
+// TestBeginRefusals guards against a ticket that starts a run it must not start,
+// and against an error that is wrong about whether the request ran.
 func TestBeginRefusals(t *testing.T) {
 	rows := []struct {
 		name string
-		// present presents a ticket in a way that must be refused.
+		// present calls Begin with a ticket in a way that must be refused.
 		present func(l *ledger.Ledger, first uint64) error
 		want    error
 	}{
@@ -32,15 +34,15 @@
 			_, _, err := l.Begin(l.Incarnation()+1, first, "c", nil, startTime)
 			return err
 		}, ledger.ErrUnknownTicket},
-		{"never minted", func(l *ledger.Ledger, first uint64) error {
+		{"never issued", func(l *ledger.Ledger, first uint64) error {
 			_, _, err := begin(l, first+99, "c", "d", startTime)
 			return err
 		}, ledger.ErrUnknownTicket},
-		{"unused past its time", func(l *ledger.Ledger, first uint64) error {
+		{"unused after its TTL", func(l *ledger.Ledger, first uint64) error {
 			_, _, err := begin(l, first, "c", "d", startTime.Add(2*time.Minute))
 			return err
 		}, ledger.ErrExpired},
-		{"used, and its record is gone", func(l *ledger.Ledger, first uint64) error {
+		{"used, and its record has expired", func(l *ledger.Ledger, first uint64) error {
 			r, _, _ := begin(l, first, "c", "d", startTime)
 			r.Finish()
 			_, _, err := begin(l, first, "c", "d", startTime.Add(2*time.Hour))
@@ -56,7 +58,7 @@
 			_, _, err := begin(l, first, "c", "e", startTime)
 			return err
 		}, ledger.ErrRequestMismatch},
-		{"no room for its answer", func(l *ledger.Ledger, first uint64) error {
+		{"not enough memory for its answer", func(l *ledger.Ledger, first uint64) error {
 			for i := range uint64(4) {
 				begin(l, first+i, "c", "d", startTime)
 			}
@@ -71,29 +73,33 @@
 			t.Fatal(err)
 		}
 		if err := row.present(l, first); !errors.Is(err, row.want) {
-			t.Errorf("%s: %v, want %v", row.name, err, row.want)
+			t.Errorf("%s: got error %v, want %v", row.name, err, row.want)
 		}
 	}
 }
 
+// TestIssueIsBounded guards against the memory for tickets growing without limit,
+// and against expired tickets counting towards the limit.
 func TestIssueIsBounded(t *testing.T) {
 	l := ledger.New(smallConfig(), 7)
 	if _, err := l.Issue(9, startTime); !errors.Is(err, ledger.ErrFull) {
-		t.Errorf("beyond the bound: %v", err)
+		t.Errorf("one ticket above the limit: got error %v, want ErrFull", err)
 	}
 	l.Issue(8, startTime)
 	if _, err := l.Issue(1, startTime); !errors.Is(err, ledger.ErrFull) {
-		t.Errorf("at the bound: %v", err)
+		t.Errorf("one more ticket at the limit: got error %v, want ErrFull", err)
 	}
 	if _, err := l.Issue(1, startTime.Add(2*time.Hour)); err != nil {
-		t.Errorf("after the old ones are void: %v", err)
+		t.Errorf("after the first tickets have expired: got error %v, want none", err)
 	}
 }
 
-// TestLargeAnswerReachesCallerButIsNotRetained appends more than is kept for retries.
+// TestLargeAnswerReachesCallerButIsNotRetained guards against an answer larger
+// than MaxAnswerBytes being lost for the caller that started the run, or
+// occupying memory after it.
 //
-// The caller who started the run follows it and gets all of it. A retry after
-// that learns that the request ran, without the answer; it does not run again.
+// The caller follows the run and gets the whole answer. A later retry finds that
+// the request ran, without its answer, and doesn't run it again.
 func TestLargeAnswerReachesCallerButIsNotRetained(t *testing.T) {
 	l := ledger.New(smallConfig(), 7)
 	first, _ := l.Issue(1, startTime)
@@ -104,28 +110,29 @@
 	}
 	r.Finish()
 	if events, done, discarded, _ := r.EventsFrom(0); len(events) != 5 || !done || discarded {
-		t.Errorf("caller: %d events, done %v, cut %v", len(events), done, discarded)
+		t.Errorf("caller: got %d events, done %v, discarded %v; want 5, true, false", len(events), done, discarded)
 	}
 	r.Unfollow()
 	retried, started, err := begin(l, first, "c", "d", startTime)
 	if err != nil || started {
-		t.Fatalf("retry: started %v, %v", started, err)
+		t.Fatalf("retry: got started %v, error %v; want false and none", started, err)
 	}
 	if events, done, discarded, _ := retried.EventsFrom(0); len(events) != 0 || !done || !discarded {
-		t.Errorf("retry: %d events, done %v, cut %v", len(events), done, discarded)
+		t.Errorf("retry: got %d events, done %v, discarded %v; want 0, true, true", len(events), done, discarded)
 	}
 	if l.UsedBytes() != 0 {
-		t.Errorf("%d bytes still counted", l.UsedBytes())
+		t.Errorf("got %d bytes used, want 0", l.UsedBytes())
 	}
 }
 
-// TestAtMostOnce drives random interleavings of entries, retries, crashes,
-// lost answers and time, and counts executions of each request.
+// TestAtMostOnce guards against a request running twice, and against a refusal
+// that says "not run" for a request that has run. It drives random
+// interleavings of retries, crashes, lost answers and time, and counts the
+// executions of each request.
 //
-// Callers retry requests through any entry and at any incarnation; agents crash
-// and lose their ledger; tickets expire. Whatever the order, no request that is
-// bound to one ticket is executed twice, and a refusal that says "not run" is
-// only given to a request that has not run.
+// Callers retry a request through any entry, also after the incarnation that
+// issued its ticket is gone; agents crash and lose their ledger; tickets expire.
+// In any order, a request that is bound to one ticket executes at most once.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := startTime
@@ -159,7 +166,7 @@
 					running[r] = record
 				case errors.Is(err, ledger.ErrExpired), errors.Is(err, ledger.ErrFull), errors.Is(err, ledger.ErrRequestMismatch):
 					if executed[r] > 0 {
-						t.Fatalf("%q ran and the answer says it did not: %v", r, err)
+						t.Fatalf("request %q ran, but the error says that it did not: %v", r, err)
 					}
 				}
 			},
@@ -174,7 +181,7 @@
 			"not reached": func(t *rapid.T) {
 				r := request.Draw(t, "request")
 				if record, ok := running[r]; ok {
-					// The endpoint was not reached: nothing was executed after all.
+					// The endpoint was not reached, so the request counts as not executed.
 					executed[r]--
 					record.Abandon()
 					delete(running, r)
@@ -191,11 +198,11 @@
 			"": func(t *rapid.T) {
 				for r, n := range executed {
 					if n > 1 {
-						t.Fatalf("%q was executed %d times", r, n)
+						t.Fatalf("request %q: got %d executions, want at most 1", r, n)
 					}
 				}
 				if l.UsedBytes() < 0 {
-					t.Fatalf("%d bytes used", l.UsedBytes())
+					t.Fatalf("got %d bytes used, want 0 or more", l.UsedBytes())
 				}
 			},
 		})
