--- a/internal/state/contextkey/contextkey.go
+++ b/internal/state/contextkey/contextkey.go
@@ -1,6 +1,7 @@
-// Package contextkey names pieces of prompt context. A key binds the customer
-// (by a secret salt), model, weight version, adapter and the whole prefix, so
-// equal prefixes of two customers, or of two weight versions, share nothing.
+// Package contextkey computes the keys under which chunks of prompt context are
+// cached. A key is a hash over the customer's secret salt, the model, the weight
+// version, the adapter and the whole prefix, so equal prefixes of two customers
+// with different salts, or of two weight versions, share nothing.
 package contextkey
 
 import (
@@ -12,28 +13,29 @@
 	"github.com/juju/errors"
 )
 
-// ErrMalformed tells that a text is no key.
+// ErrMalformed is returned when a text is not the hexadecimal form of a key.
 const ErrMalformed = errors.ConstError("context key must be 32 hexadecimal digits")
 
-// ChunkTokens is the size of one piece of context, in tokens.
+// ChunkTokens is the size of one chunk of context, in tokens.
 const ChunkTokens = 2000
 
-// BytesPerToken estimates text size; entries do not run the models' tokenizers.
+// BytesPerToken is the text length assumed for one token: entries don't run the
+// models' tokenizers.
 const BytesPerToken = 4
 
-// ChunkBytes is the text length of one piece.
+// ChunkBytes is the text length of one chunk, in bytes.
 const ChunkBytes = ChunkTokens * BytesPerToken
 
 // Size is the length of a key in bytes.
 const Size = 16
 
-// Key names one piece of context together with all that precedes it.
+// Key identifies a chunk of context together with the whole prefix before it.
 type Key [Size]byte
 
-// String gives the key in hexadecimal.
+// String returns the key in hexadecimal.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// Parse reads a key's hexadecimal form.
+// Parse decodes a key from its hexadecimal form and reports whether it is valid.
 func Parse(s string) (Key, bool) {
 	var k Key
 	raw, err := hex.DecodeString(s)
@@ -44,7 +46,7 @@
 	return k, true
 }
 
-// Scope is what a context belongs to besides its text.
+// Scope holds what a key depends on besides the text.
 type Scope struct {
 	Salt          []byte
 	Model         string
@@ -52,8 +54,8 @@
 	Adapter       string
 }
 
-// ChunkKeys returns the keys of the whole pieces of text, first to last. The rest of
-// the text that fills no piece has no key and is always computed.
+// ChunkKeys returns the keys of the full chunks of text, first to last. A last
+// chunk shorter than ChunkBytes has no key and is always computed by the engine.
 func ChunkKeys(scope Scope, text string) []Key {
 	chunks := len(text) / ChunkBytes
 	if chunks == 0 {
@@ -72,8 +74,8 @@
 	return keys
 }
 
-// scopeHash separates the fields by their lengths: without it ("ab","c") and
-// ("a","bc") would share contexts.
+// scopeHash hashes the scope's fields, each prefixed with its length. Without the
+// lengths, fields ("ab","c") and ("a","bc") would share contexts.
 func scopeHash(mac hash.Hash, scope Scope) Key {
 	for _, field := range []string{scope.Model, scope.WeightVersion, scope.Adapter} {
 		n := len(field)
@@ -83,6 +85,7 @@
 	return truncatedSum(mac)
 }
 
+// truncatedSum returns the first Size bytes of the sum as a key.
 func truncatedSum(mac hash.Hash) Key {
 	var full [sha256.Size]byte
 	var k Key
@@ -90,7 +93,8 @@
 	return k
 }
 
-// EstimateTokens estimates the number of tokens of a text.
+// EstimateTokens estimates the number of tokens of a text from its length,
+// rounded up.
 func EstimateTokens(text string) int {
 	return (len(text) + BytesPerToken - 1) / BytesPerToken
 }
