--- a/internal/state/fingerprint/fingerprint.go
+++ b/internal/state/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint names requests by what they ask, so that one that comes again is
-// recognised without its body being kept.
+// Package fingerprint identifies requests by a hash of their content, so that a repeated request is recognised without
+// its body being stored.
 package fingerprint
 
 import (
@@ -12,17 +12,17 @@
 	"github.com/juju/errors"
 )
 
-// Size of a key in bytes. A collision of 128 bits of SHA-256 would block another request; the customer is hashed too,
-// so that one who could find two such requests blocks only himself.
+// Size is the length of a key in bytes. A collision of two keys (128 bits of SHA-256) could block a request that should
+// run. As the customer is hashed too, a customer that could find such a collision would block only its own requests.
 const Size = 16
 
-// ErrMalformed tells that a text is no key.
+// ErrMalformed is returned when a text is not the hexadecimal form of a key.
 const ErrMalformed = errors.ConstError("fingerprint must be 32 hexadecimal digits")
 
 // Key is a request's fingerprint.
 type Key [Size]byte
 
-// String gives the key in hexadecimal.
+// String returns the key in hexadecimal.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// Parse reads a key's hexadecimal form.
+// Parse decodes a key from its hexadecimal form and reports whether it is valid.
 func Parse(s string) (Key, bool) {
 	var k Key
 	raw, err := hex.DecodeString(s)
@@ -49,18 +49,18 @@
 	return k, true
 }
 
-// Request is what a caller asks besides the body.
+// Request holds the properties of a request, besides its body, that identify it.
 type Request struct {
-	// Customer who asks; empty where no key is needed.
+	// Customer that sent the request; empty where no API key is required.
 	Customer string
-	// Host that the caller names, or the service.
+	// Host is the host name in the request, or the service's ID.
 	Host   string
 	Method string
-	// Target is the path with its query as the caller sent it, or the model.
+	// Target is the path with its query as the caller sent it; empty where the body is a digest that covers the path.
 	Target string
 }
 
-// Of returns the key of a request. Headers aren't part of it: they change with each attempt.
+// Of returns the key of a request. Headers aren't hashed: they change with each attempt.
 func Of(r Request, body []byte) Key {
 	h := sha256.New()
 	for _, field := range []string{r.Customer, r.Host, r.Method, r.Target} {
@@ -72,7 +72,8 @@
 	return Key(h.Sum(nil)[:Size])
 }
 
-// writeLength keeps fields apart: without it "ab"+"c" and "a"+"bc" would be one request.
+// writeLength hashes the length of a field before its content. Without it, the fields "ab", "c" and "a", "bc" would have
+// the same key.
 func writeLength(h hash.Hash, n int) {
 	h.Write(binary.BigEndian.AppendUint64(nil, uint64(n)))
 }
