--- a/internal/state/blockseal/blockseal.go
+++ b/internal/state/blockseal/blockseal.go
@@ -1,6 +1,7 @@
-// Package blockseal wraps a context block for its stay on a store host and
-// verifies it on the way back. A store host, its links and its slots can all be
-// wrong; only a block that opens here may reach an engine.
+// Package blockseal frames and authenticates a context block before it is stored
+// on a store host, and verifies it when it is read back. A store host, its links
+// and its slots can all be faulty, so only a block that Open has verified may
+// reach an engine. Seal does not encrypt the content.
 package blockseal
 
 import (
@@ -13,7 +14,7 @@
 	"limpetwall/internal/state/contextkey"
 )
 
-// ErrInvalidBlock tells that bytes are not the sealed block that was asked for.
+// ErrInvalidBlock is returned when bytes are not the requested sealed block.
 const ErrInvalidBlock = errors.ConstError("block does not verify")
 
 const (
@@ -25,8 +26,9 @@
 // Overhead is the number of bytes that Seal adds.
 const Overhead = headerSize + macSize
 
-// Seal frames content: magic, key, length, content, HMAC-SHA256 under the
-// customer's salt. The HMAC comes last, so a partly written block has none.
+// Seal returns a block with content: magic, key, length, content, HMAC-SHA256
+// under the customer's salt. The HMAC comes last, so a partly written block has
+// none.
 func Seal(salt []byte, key contextkey.Key, content []byte) []byte {
 	out := make([]byte, 0, len(content)+Overhead)
 	out = binary.BigEndian.AppendUint32(out, magic)
@@ -36,16 +38,17 @@
 	return newMAC(salt, out).Sum(out)
 }
 
-// Open returns the content of a sealed block, or ErrBroken.
+// Open verifies a sealed block and returns its content, or ErrInvalidBlock.
 //
-// The key inside catches another block's bytes (a reused slot, a misdirected
-// read); it names the whole prefix, customer and weight version, so bytes that
-// carry the right key are the right context whenever they were written. Length
-// and HMAC catch torn writes, reads that race a free, and flipped bits; the salt
-// keeps a block of another customer from verifying even under a forged key.
+// The key in the header detects the bytes of another block, from a reused slot
+// or a misdirected read. It identifies the whole prefix, customer and weight
+// version, so a block with the right key is the right context, no matter when it
+// was written. Length and HMAC detect torn writes, reads that race with the
+// freeing of a slot, and flipped bits. The salt keeps a block of another customer
+// from verifying, even with a forged key.
 func Open(salt []byte, key contextkey.Key, sealed []byte) ([]byte, error) {
 	if len(sealed) < Overhead {
-		return nil, errors.Annotatef(ErrInvalidBlock, "%d bytes", len(sealed))
+		return nil, errors.Annotatef(ErrInvalidBlock, "block has only %d bytes", len(sealed))
 	}
 	if binary.BigEndian.Uint32(sealed) != magic {
 		return nil, errors.Annotate(ErrInvalidBlock, "no block header")
@@ -55,7 +58,7 @@
 	}
 	length := int(binary.BigEndian.Uint32(sealed[4+contextkey.Size:]))
 	if length != len(sealed)-Overhead {
-		return nil, errors.Annotatef(ErrInvalidBlock, "length %d in %d bytes", length, len(sealed))
+		return nil, errors.Annotatef(ErrInvalidBlock, "content length %d in a block of %d bytes", length, len(sealed))
 	}
 	body := sealed[:headerSize+length]
 	if !hmac.Equal(newMAC(salt, body).Sum(nil), sealed[len(body):]) {
@@ -64,8 +67,10 @@
 	return body[headerSize:], nil
 }
 
+// digest is the part of hash.Hash that returns the sum.
 type digest interface{ Sum([]byte) []byte }
 
+// newMAC returns the HMAC of data under salt.
 func newMAC(salt, data []byte) digest {
 	h := hmac.New(sha256.New, salt)
 	h.Write(data)
