--- a/internal/state/finding/finding.go
+++ b/internal/state/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects errors with their place, so that bad input is
-// reported whole instead of one error at a time.
+// Package finding collects the validation errors of an input with their places,
+// so that all of them are reported together instead of one at a time.
 package finding
 
 import (
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Finding is one defect of an input.
+// Finding is one validation error of an input.
 type Finding struct {
 	// Place is a JSON path ("$.put[2].spec.service") or a setting ("-listen").
 	Place string `json:"place"`
@@ -25,7 +25,7 @@
 	l.items = append(l.items, Finding{Place: place, Message: fmt.Sprintf(format, args...)})
 }
 
-// Items returns the findings in the order they were added.
+// Items returns the findings in the order in which they were added.
 func (l *List) Items() []Finding { return l.items }
 
 // Err returns an *Error holding all findings, or nil if there are none.
@@ -41,7 +41,7 @@
 	Findings []Finding
 }
 
-// Error implements error, one finding a line.
+// Error returns the findings, one per line.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Findings))
 	for _, f := range e.Findings {
