--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -110,7 +110,7 @@
 	p.run(runner.WatchMembership)
 	p.run(runner.Guard.Run)
 	p.run(e.ReportsDuty)
-	p.run(e.Rollout.Duty)
+	p.run(e.Rollout.Run)
 	p.run(func(ctx context.Context) {
 		p.node.RunReports(ctx, func() fleet.Load { return fleet.Load{Running: e.Inflight()} })
 	})
@@ -150,8 +150,8 @@
 }
 
 func newRollout(s *EntrySettings, p *base) *rollout.Runner {
-	held := lease.New(lease.Config{Key: "lease.rollout", Holder: s.ID, Term: rollout.LeaseTerm, CallTimeout: rollout.Every}, p.api)
-	return &rollout.Runner{Node: p.node, Store: p.store, Pool: p.pool, Lease: held, Zap: p.zap}
+	held := lease.New(lease.Config{Key: "lease.rollout", Holder: s.ID, Term: rollout.LeaseTerm, CallTimeout: rollout.PollInterval}, p.api)
+	return &rollout.Runner{Node: p.node, Store: p.store, Pool: p.pool, Lease: held, Log: p.zap}
 }
 
 func newSalt() []byte {
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -180,7 +180,7 @@
 	p.share(self, store, watcher, director, keeper)
 	p.run(watcher.Run)
 	p.run(p.gateway.Guard.Run)
-	p.gateway.IsLeader = director.Leads
+	p.gateway.IsLeader = director.IsLeader
 	p.gateway.WeightQueries = boundedqueue.New[string](gateway.MaxWeightQueries)
 	p.gateway.QueryWeights = func(ctx context.Context, i discovery.Instance) (gateway.EngineReport, error) {
 		report, err := engines.Report(ctx, i)
--- a/internal/coordination/rollout/director.go
+++ b/internal/coordination/rollout/director.go
@@ -219,8 +219,8 @@
 	return trusted - d.Now().Sub(told)
 }
 
-// Leads tells whether this process holds the lease.
-func (d *Director) Leads() bool { return d.Lease.IsHeld(d.Now()) }
+// IsLeader tells whether this process holds the lease.
+func (d *Director) IsLeader() bool { return d.Lease.IsHeld(d.Now()) }
 
 func (d *Director) hasEngines() bool {
 	for _, i := range d.State.Instances() {
--- a/internal/coordination/rollout/runner.go
+++ b/internal/coordination/rollout/runner.go
@@ -14,8 +14,8 @@
 	"limpetwall/internal/transport/rpc"
 )
 
-// Every is how often the holder decides and candidates look at the lease.
-const Every = 2 * time.Second
+// PollInterval is how often the holder decides and candidates look at the lease.
+const PollInterval = 2 * time.Second
 
 // LeaseTerm is the time without renewal after which another holder takes over.
 const LeaseTerm = 10 * time.Second
@@ -33,7 +33,7 @@
 	Store *config.Store
 	Pool  *rpc.Pool
 	Lease *lease.Lease
-	Zap   *zap.Logger
+	Log   *zap.Logger
 
 	mu      sync.Mutex
 	blocked []Blocked
@@ -47,10 +47,10 @@
 	return r.blocked
 }
 
-// Duty looks at the lease and gives orders until ctx ends. Without an intent that
+// Run looks at the lease and gives orders until ctx ends. Without an intent that
 // orders engines it makes no platform call.
-func (r *Runner) Duty(ctx context.Context) {
-	ticker := time.NewTicker(Every)
+func (r *Runner) Run(ctx context.Context) {
+	ticker := time.NewTicker(PollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -96,7 +96,7 @@
 			known = known || old == b
 		}
 		if !known {
-			r.Zap.Warn("rollout blocked", zap.String("intent", b.Intent), zap.String("reason", b.Reason))
+			r.Log.Warn("rollout blocked", zap.String("intent", b.Intent), zap.String("reason", b.Reason))
 		}
 	}
 	r.blocked = blocked
@@ -118,7 +118,7 @@
 		Fence: fence, WantIncarnation: o.Member.Incarnation, Revision: o.Revision, Model: o.Intent.Model,
 		WeightVersion: o.Intent.WeightVersion, Adapter: o.Intent.Adapter, Role: o.Intent.Role,
 	})
-	r.Zap.Info("order", zap.String("endpoint", o.Member.Endpoint.ID), zap.String("intent", o.Intent.ID),
+	r.Log.Info("order", zap.String("endpoint", o.Member.Endpoint.ID), zap.String("intent", o.Intent.ID),
 		zap.String("weight_version", o.Intent.WeightVersion), zap.Uint64("fence", fence),
 		zap.Bool("accepted", resp.GetAccepted()), zap.String("reason", resp.GetReason()), zap.Error(err))
 	if resp.GetFence() > fence {
