--- a/internal/coordination/rollout/director.go
+++ b/internal/coordination/rollout/director.go
@@ -85,17 +85,17 @@
 	// Fleet, if set, counts the processes that look at the lease.
 	Fleet func() int
 
-	// lastOrder is when this process last sent an order; announced tells that the
+	// lastOrderAt is when this process last sent an order; announced tells that the
 	// lease's note says so.
-	lastOrder time.Time
-	announced bool
-	// loadTook is a moving average of how long orders take.
-	loadTook time.Duration
-	// loading are the engines that carry out an order of this process.
-	loading map[string]loadingOrder
-	// marked are the engines that another holder says are loading, or that this process
+	lastOrderAt       time.Time
+	orderingAnnounced bool
+	// meanLoadTime is a moving average of how long orders take.
+	meanLoadTime time.Duration
+	// inFlight are the engines that carry out an order of this process.
+	inFlight map[string]inFlightOrder
+	// markedLoading are the engines that another holder says are loading, or that this process
 	// ordered before it lost the lease, with when that was last known.
-	marked map[string]time.Time
+	markedLoading map[string]time.Time
 	// loaded are the engines that this process saw load lately.
 	loaded map[string]loadedWeights
 }
@@ -105,62 +105,62 @@
 	at      time.Time
 }
 
-type loadingOrder struct {
+type inFlightOrder struct {
 	instance discovery.Instance
 	version  int64
 	since    time.Time
-	// heard is when the engine last reported.
-	heard time.Time
+	// lastReport is when the engine last reported.
+	lastReport time.Time
 }
 
 const (
-	// idleLook is how often the holder renews the lease while nothing is to be ordered,
+	// holderIdleInterval is how often the holder renews the lease while nothing is to be ordered,
 	// and followerLook how often the others look at it: all processes do, and every call
 	// counts at the store. When weights are named they look at once.
-	idleLook     = 1200 * time.Millisecond
-	followerLook = 2400 * time.Millisecond
-	// busyLook is how often the holder decides while engines are to be ordered, and
+	holderIdleInterval   = 1200 * time.Millisecond
+	followerIdleInterval = 2400 * time.Millisecond
+	// busyInterval is how often the holder decides while engines are to be ordered, and
 	// the others read which of them load.
-	busyLook = 250 * time.Millisecond
-	// fleetLook is the mean time between two looks of all followers together while engines
+	busyInterval = 250 * time.Millisecond
+	// fleetInterval is the mean time between two looks of all followers together while engines
 	// are to be ordered and the holder tells them nothing: a hundred that looked every
 	// busyLook made 400 calls a second.
-	fleetLook = 10 * time.Millisecond
-	// slowestLook bounds a follower's pause for it: to take over it must have seen the lease
+	fleetInterval = 10 * time.Millisecond
+	// maxFollowerInterval bounds a follower's pause for it: to take over it must have seen the lease
 	// unchanged for a term.
-	slowestLook = time.Second
-	// toldBusy and toldIdle are how long a follower goes by what the holder told it last,
+	maxFollowerInterval = time.Second
+	// noticeTTLBusy and toldIdle are how long a follower goes by what the holder told it last,
 	// while engines are to be ordered and else: five notices, and two, that may be lost.
-	toldBusy = 5 * busyLook
-	toldIdle = 2*idleLook + idleLook/2
+	noticeTTLBusy = 5 * busyInterval
+	noticeTTLIdle = 2*holderIdleInterval + holderIdleInterval/2
 	// engineTimeout bounds one report or order.
 	engineTimeout = 500 * time.Millisecond
-	// loadGivenUp is when an accepted order is looked at as lost, and silentGivenUp
+	// loadTimeout is when an accepted order is looked at as lost, and silentGivenUp
 	// when an engine that does not report any more leaves its place to another.
-	loadGivenUp   = 8 * time.Second
-	silentGivenUp = time.Second
-	// loadingShare of a model's engines carry out orders at once, two at least: more
+	loadTimeout    = 8 * time.Second
+	silenceTimeout = time.Second
+	// loadingFraction of a model's engines carry out orders at once, two at least: more
 	// slow each other down at the weight store.
-	loadingShare = 0.2
-	// loadTime is assumed of an order before one has ended: an engine ends its runs,
+	loadingFraction = 0.2
+	// defaultLoadTime is assumed of an order before one has ended: an engine ends its runs,
 	// then loads.
-	loadTime = 1500 * time.Millisecond
-	// hurry is the part of the time for new weights in which all engines should have
+	defaultLoadTime = 1500 * time.Millisecond
+	// deadlineFraction is the part of the time for new weights in which all engines should have
 	// them. If that takes more orders at once, more are given.
-	hurry = 0.7
-	// mostLoading is the part of a model's engines that carry out orders at once even
+	deadlineFraction = 0.7
+	// maxLoadingFraction is the part of a model's engines that carry out orders at once even
 	// then: the others must serve meanwhile, and take over the runs of those that load.
 	// With 12 engines 0.5 gave 0.03 less worth over a day with a rollout, two new and two
 	// leaving engines than 0.34, which gives as much as 0.25.
-	mostLoading = 0.34
+	maxLoadingFraction = 0.34
 )
 
 // Run directs until ctx ends.
 func (d *Director) Run(ctx context.Context) {
-	d.loading, d.marked, d.loaded = map[string]loadingOrder{}, map[string]time.Time{}, map[string]loadedWeights{}
+	d.inFlight, d.markedLoading, d.loaded = map[string]inFlightOrder{}, map[string]time.Time{}, map[string]loadedWeights{}
 	held := false
 	for {
-		timer := time.NewTimer(d.untilNextLook(held))
+		timer := time.NewTimer(d.pollDelay(held))
 		select {
 		case <-timer.C:
 		case <-d.State.TargetChanged():
@@ -177,46 +177,46 @@
 	}
 }
 
-func (d *Director) untilNextLook(held bool) time.Duration {
-	pending := d.pending()
+func (d *Director) pollDelay(held bool) time.Duration {
+	pending := d.isRolloutPending()
 	switch {
 	case held && pending:
-		return busyLook
+		return busyInterval
 	case held:
-		return idleLook
+		return holderIdleInterval
 	}
-	if left := d.informed(pending); left > 0 {
+	if left := d.noticeTimeLeft(pending); left > 0 {
 		// Followers that all miss a notice should not all look at the same moment.
-		return left + rand.N(idleLook)
+		return left + rand.N(holderIdleInterval)
 	}
 	if pending {
-		return d.pendingLook()
+		return d.followerBusyInterval()
 	}
-	return followerLook
+	return followerIdleInterval
 }
 
-// pendingLook is a follower's pause between looks while engines are to be ordered.
-func (d *Director) pendingLook() time.Duration {
+// followerBusyInterval is a follower's pause between looks while engines are to be ordered.
+func (d *Director) followerBusyInterval() time.Duration {
 	if d.Fleet == nil {
-		return busyLook
+		return busyInterval
 	}
-	return min(max(busyLook, time.Duration(d.Fleet())*fleetLook), slowestLook)
+	return min(max(busyInterval, time.Duration(d.Fleet())*fleetInterval), maxFollowerInterval)
 }
 
-// informed is how much longer a follower may go by the holder's notices instead of looking
+// noticeTimeLeft is how much longer a follower may go by the holder's notices instead of looking
 // at the lease. In half a minute with two rollouts a hundred followers' looks were 10,000 of
 // 22,000 calls to the store. A holder that dies or is cut off falls silent, and the followers
 // look again before its term is over: nobody takes over later for the notices.
-func (d *Director) informed(pending bool) time.Duration {
-	told := d.Lease.LastObservedRenewal()
-	if told.IsZero() {
+func (d *Director) noticeTimeLeft(pending bool) time.Duration {
+	lastNotice := d.Lease.LastObservedRenewal()
+	if lastNotice.IsZero() {
 		return 0
 	}
-	trusted := toldIdle
+	ttl := noticeTTLIdle
 	if pending {
-		trusted = toldBusy
+		ttl = noticeTTLBusy
 	}
-	return trusted - d.Now().Sub(told)
+	return ttl - d.Now().Sub(lastNotice)
 }
 
 // IsLeader tells whether this process holds the lease.
@@ -231,9 +231,9 @@
 	return false
 }
 
-// pending tells whether an engine has not the weights that are named.
-func (d *Director) pending() bool {
-	if len(d.loading) > 0 {
+// isRolloutPending tells whether an engine has not the weights that are named.
+func (d *Director) isRolloutPending() bool {
+	if len(d.inFlight) > 0 {
 		return true
 	}
 	for _, i := range d.State.Instances() {
@@ -246,93 +246,93 @@
 
 func (d *Director) step(ctx context.Context, held bool) bool {
 	d.State.RetireOutdated()
-	if !held && d.informed(d.pending()) > 0 {
-		d.adopt()
-		d.follow(true)
+	if !held && d.noticeTimeLeft(d.isRolloutPending()) > 0 {
+		d.mergeVersionAges()
+		d.followHolder(true)
 		return false
 	}
-	ordering := d.pending() || d.Now().Sub(d.lastOrder) < d.Handover
+	ordering := d.isRolloutPending() || d.Now().Sub(d.lastOrderAt) < d.Handover
 	d.writeNote(ordering)
 	err := d.Lease.Step(ctx)
-	d.adopt()
+	d.mergeVersionAges()
 	fence, notHeld := d.Lease.Fence(d.Now())
 	if (notHeld == nil) != held {
 		d.Log.Info("rollout lease", zap.Bool("held", notHeld == nil), zap.Uint64("fence", fence), zap.NamedError("last_call", err))
 	}
 	if notHeld != nil {
-		d.announced = false
-		d.follow(errors.Is(err, lease.ErrNotHeld))
+		d.orderingAnnounced = false
+		d.followHolder(errors.Is(err, lease.ErrNotHeld))
 		return false
 	}
 	if err == nil {
-		d.announced = ordering
-		d.tell()
+		d.orderingAnnounced = ordering
+		d.announceRenewal()
 	}
-	if !d.announced || d.handingOver() {
+	if !d.orderingAnnounced || d.isHandingOver() {
 		return true
 	}
-	d.unmarkAll()
-	d.survey(ctx)
-	d.order(ctx)
+	d.unmarkAllLoading()
+	d.pollOrders(ctx)
+	d.sendOrders(ctx)
 	return true
 }
 
-// tell passes on what was just written to the lease.
-func (d *Director) tell() {
+// announceRenewal passes on what was just written to the lease.
+func (d *Director) announceRenewal() {
 	if d.Notices != nil {
 		d.Notices.Announce(d.Lease.LastWrite())
 	}
 }
 
-// handingOver tells whether orders of the holder before may be too near. A holder
+// isHandingOver tells whether orders of the holder before may be too near. A holder
 // says in its note that it is about to order before it does: one that has not said
 // so has ordered nothing for long.
-func (d *Director) handingOver() bool {
+func (d *Director) isHandingOver() bool {
 	at, left := d.Lease.TakenOver()
 	if at.IsZero() || d.Now().Sub(at) >= d.Handover {
 		return false
 	}
-	before, err := decodeNote(left)
-	return err != nil || before.Ordering
+	previousNote, err := decodeNote(left)
+	return err != nil || previousNote.Ordering
 }
 
-// survey asks the engines that were given orders how far they are.
-func (d *Director) survey(ctx context.Context) {
-	for id, l := range d.loading {
+// pollOrders asks the engines that were given orders how far they are.
+func (d *Director) pollOrders(ctx context.Context) {
+	for id, l := range d.inFlight {
 		report, err := d.report(ctx, l.instance)
 		now, known := d.State.Instance(id)
 		if !known || now.Born != l.instance.Born {
 			// An order ends with the start that accepted it; the engine is ordered anew.
 			d.Log.Info("order lost with its engine", zap.String("endpoint", id), zap.Bool("known", known), zap.Int64("ordered", l.version))
-			delete(d.loading, id)
+			delete(d.inFlight, id)
 			continue
 		}
 		if err != nil {
 			d.Log.Warn("engine does not report", zap.String("endpoint", id), zap.Error(err))
 		} else {
-			l.heard = d.Now()
-			d.loading[id] = l
+			l.lastReport = d.Now()
+			d.inFlight[id] = l
 		}
-		has := report.Weights[l.instance.Model]
-		d.State.ObserveWeights(id, has)
+		weights := report.Weights[l.instance.Model]
+		d.State.ObserveWeights(id, weights)
 		finished := err == nil && !report.Busy
-		if finished || d.Now().Sub(l.since) > loadGivenUp || d.Now().Sub(l.heard) > silentGivenUp {
-			d.Log.Info("order ended", zap.String("endpoint", id), zap.Int64("ordered", l.version), zap.Int64("weights", has),
+		if finished || d.Now().Sub(l.since) > loadTimeout || d.Now().Sub(l.lastReport) > silenceTimeout {
+			d.Log.Info("order ended", zap.String("endpoint", id), zap.Int64("ordered", l.version), zap.Int64("weights", weights),
 				zap.Duration("took", d.Now().Sub(l.since)))
-			d.learnLoadTime(d.Now().Sub(l.since))
-			d.loaded[id] = loadedWeights{has, d.Now()}
-			delete(d.loading, id)
+			d.observeLoadTime(d.Now().Sub(l.since))
+			d.loaded[id] = loadedWeights{weights, d.Now()}
+			delete(d.inFlight, id)
 			d.State.SetLoading(id, false)
 		}
 	}
 }
 
-func (d *Director) learnLoadTime(took time.Duration) {
+func (d *Director) observeLoadTime(took time.Duration) {
 	const weight = 4
-	if d.loadTook == 0 {
-		d.loadTook = loadTime
+	if d.meanLoadTime == 0 {
+		d.meanLoadTime = defaultLoadTime
 	}
-	d.loadTook += (took - d.loadTook) / weight
+	d.meanLoadTime += (took - d.meanLoadTime) / weight
 }
 
 func (d *Director) report(ctx context.Context, i discovery.Instance) (EngineReport, error) {
@@ -348,14 +348,14 @@
 	return report, err
 }
 
-// order gives the orders that Decide asks for.
-func (d *Director) order(ctx context.Context) {
+// sendOrders gives the orders that Decide asks for.
+func (d *Director) sendOrders(ctx context.Context) {
 	members := d.members()
-	orders, _ := Decide(d.view(members), members)
+	orders, _ := Decide(d.desiredView(members), members)
 	for _, o := range orders {
 		instance, ok := d.State.Instance(o.Member.ID)
 		if ok {
-			d.give(ctx, instance, d.State.TargetVersion(instance.Model))
+			d.sendOrder(ctx, instance, d.State.TargetVersion(instance.Model))
 		}
 	}
 }
@@ -370,8 +370,8 @@
 		e := &members[i].Endpoint
 		// An endpoint that is not used for its old weights is to be ordered all the more.
 		e.Loading = d.State.IsLoading(members[i].ID)
-		if named := d.State.TargetVersion(e.Model); versionOf(members[i]) > named {
-			e.WeightVersion = discovery.VersionName(named)
+		if target := d.State.TargetVersion(e.Model); versionOf(members[i]) > target {
+			e.WeightVersion = discovery.VersionName(target)
 		}
 	}
 	return members
@@ -386,8 +386,8 @@
 	return version
 }
 
-// view states what is wanted in the form that Decide reads.
-func (d *Director) view(members []fleet.Member) *config.View {
+// desiredView states what is wanted in the form that Decide reads.
+func (d *Director) desiredView(members []fleet.Member) *config.View {
 	change := config.Change{Revision: 1}
 	engines, versions := map[[2]string]int{}, map[string][]string{}
 	for _, m := range members {
@@ -400,14 +400,14 @@
 	}
 	for of, count := range engines {
 		service, model := of[0], of[1]
-		named := d.State.TargetVersion(model)
-		if named == 0 {
+		target := d.State.TargetVersion(model)
+		if target == 0 {
 			continue
 		}
 		intent := config.Intent{
 			Service: service, Labels: map[string]string{discovery.ServiceLabel: service}, Model: model,
-			WeightVersion: discovery.VersionName(named), AlsoVersions: versions[model], Orders: true,
-			MaxLoading: d.atOnce(model, count),
+			WeightVersion: discovery.VersionName(target), AlsoVersions: versions[model], Orders: true,
+			MaxLoading: d.maxConcurrentLoads(model, count),
 		}
 		spec, err := json.Marshal(intent)
 		if err != nil {
@@ -420,27 +420,27 @@
 	return config.Empty().With(change)
 }
 
-// atOnce is how many engines may carry out orders together: few, unless the time
+// maxConcurrentLoads is how many engines may carry out orders together: few, unless the time
 // for the oldest named version that is not in use everywhere runs out.
-func (d *Director) atOnce(model string, engines int) int {
-	usual := max(2, int(loadingShare*float64(engines)))
+func (d *Director) maxConcurrentLoads(model string, engines int) int {
+	usual := max(2, int(loadingFraction*float64(engines)))
 	behind, since := d.State.EndpointsBehind(model)
 	if behind == 0 {
 		return usual
 	}
-	left := time.Duration(hurry*float64(d.Within)) - d.Now().Sub(since)
-	each := d.loadTook
+	left := time.Duration(deadlineFraction*float64(d.Within)) - d.Now().Sub(since)
+	each := d.meanLoadTime
 	if each == 0 {
-		each = loadTime
+		each = defaultLoadTime
 	}
 	rounds := max(1, int(left/each))
 	needed := (behind + rounds - 1) / rounds
-	return max(usual, min(needed, int(mostLoading*float64(engines))))
+	return max(usual, min(needed, int(maxLoadingFraction*float64(engines))))
 }
 
-// give orders one engine. Its own report comes first: it tells what the engine has
+// sendOrder orders one engine. Its own report comes first: it tells what the engine has
 // accepted so far, which the platform's list tells late.
-func (d *Director) give(ctx context.Context, i discovery.Instance, version int64) {
+func (d *Director) sendOrder(ctx context.Context, i discovery.Instance, version int64) {
 	report, err := d.report(ctx, i)
 	if err != nil {
 		d.Log.Warn("engine does not report", zap.String("endpoint", i.ID), zap.Error(err))
@@ -458,7 +458,7 @@
 	if err != nil {
 		return
 	}
-	d.lastOrder = d.Now()
+	d.lastOrderAt = d.Now()
 	call, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	err = d.Engines.Order(call, i, WeightsOrder{Model: i.Model, Version: version, Holder: d.Holder, Fence: fence, Expect: report.Orders})
@@ -471,6 +471,6 @@
 }
 
 func (d *Director) track(i discovery.Instance, version int64) {
-	d.loading[i.ID] = loadingOrder{instance: i, version: version, since: d.Now(), heard: d.Now()}
+	d.inFlight[i.ID] = inFlightOrder{instance: i, version: version, since: d.Now(), lastReport: d.Now()}
 	d.State.SetLoading(i.ID, true)
 }
--- a/internal/coordination/rollout/director_test.go
+++ b/internal/coordination/rollout/director_test.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	term    = 3 * time.Second
-	act     = term / 4
-	loading = time.Second
+	term            = 3 * time.Second
+	actWindow       = term / 4
+	defaultLoadTime = time.Second
 )
 
 // fakeEngines are engines that take a second to load. They ignore fencing numbers,
@@ -32,15 +32,15 @@
 type fakeEngines struct {
 	mu      sync.Mutex
 	engines map[string]*fakeEngine
-	orders  []givenOrder
-	// mute engines carry an order out but lose its answer; late ones do so seconds
+	orders  []sentOrder
+	// loseAnswers engines carry an order out but lose its answer; delayOrders ones do so seconds
 	// after, if what the order expects still holds.
-	mute, late bool
-	most       int
-	// reportTakes is how long a report is underway.
-	reportTakes time.Duration
-	// loads is how long an order takes.
-	loads time.Duration
+	loseAnswers, delayOrders bool
+	maxBusy                  int
+	// reportDelay is how long a report is underway.
+	reportDelay time.Duration
+	// loadTime is how long an order takes.
+	loadTime time.Duration
 }
 
 type fakeEngine struct {
@@ -49,7 +49,7 @@
 	born            int64
 }
 
-type givenOrder struct {
+type sentOrder struct {
 	engine string
 	at     time.Time
 	rollout.WeightsOrder
@@ -57,7 +57,7 @@
 }
 
 func newFakeEngines(weights ...int64) *fakeEngines {
-	f := &fakeEngines{engines: map[string]*fakeEngine{}, loads: loading}
+	f := &fakeEngines{engines: map[string]*fakeEngine{}, loadTime: defaultLoadTime}
 	for i, w := range weights {
 		f.engines[fmt.Sprint("e", i)] = &fakeEngine{weights: w}
 	}
@@ -66,7 +66,7 @@
 
 func (f *fakeEngines) Report(_ context.Context, i discovery.Instance) (rollout.EngineReport, error) {
 	f.mu.Lock()
-	takes := f.reportTakes
+	takes := f.reportDelay
 	f.mu.Unlock()
 	time.Sleep(takes)
 	f.mu.Lock()
@@ -81,8 +81,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.engines[i.ID]
-	f.orders = append(f.orders, givenOrder{i.ID, time.Now(), o, e.weights})
-	if f.late {
+	f.orders = append(f.orders, sentOrder{i.ID, time.Now(), o, e.weights})
+	if f.delayOrders {
 		time.AfterFunc(4*time.Second, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -91,7 +91,7 @@
 		return errNoAnswer
 	}
 	err := f.accept(e, o)
-	if f.mute {
+	if f.loseAnswers {
 		return errNoAnswer
 	}
 	return err
@@ -109,8 +109,8 @@
 			busy++
 		}
 	}
-	f.most = max(f.most, busy)
-	time.AfterFunc(f.loads, func() {
+	f.maxBusy = max(f.maxBusy, busy)
+	time.AfterFunc(f.loadTime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		e.weights, e.busy = o.Version, false
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func (f *fakeEngines) at(version int64) int {
+func (f *fakeEngines) countAt(version int64) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -130,8 +130,8 @@
 	return n
 }
 
-// loadingNow counts the engines that carry out an order.
-func (f *fakeEngines) loadingNow() int {
+// busyCount counts the engines that carry out an order.
+func (f *fakeEngines) busyCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -143,53 +143,53 @@
 	return n
 }
 
-// given lists the orders so far.
-func (f *fakeEngines) given() []givenOrder {
+// sentOrders lists the orders so far.
+func (f *fakeEngines) sentOrders() []sentOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]givenOrder(nil), f.orders...)
+	return append([]sentOrder(nil), f.orders...)
 }
 
-// set changes how the engines behave.
-func (f *fakeEngines) set(change func()) {
+// withLock changes how the engines behave.
+func (f *fakeEngines) withLock(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-// frozen is a store's client that a test may stop, as a freeze of its process does.
-type frozen struct {
+// faultyStore is a store's client that a test may stop, as a freeze of its process does.
+type faultyStore struct {
 	objectapi.API
-	mu   sync.Mutex
-	wait chan struct{}
-	away bool
-	// gets counts reads.
-	gets int
+	mu          sync.Mutex
+	wait        chan struct{}
+	unavailable bool
+	// reads counts reads.
+	reads int
 }
 
-// cut makes the store answer nothing, without stopping the process.
-func (f *frozen) cut(away bool) {
+// setUnavailable makes the store answer nothing, without stopping the process.
+func (f *faultyStore) setUnavailable(unavailable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.away = away
+	f.unavailable = unavailable
 }
 
-func (f *frozen) freeze() {
+func (f *faultyStore) freeze() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.wait = make(chan struct{})
 }
 
-func (f *frozen) thaw() {
+func (f *faultyStore) thaw() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	close(f.wait)
 	f.wait = nil
 }
 
-func (f *frozen) pass(ctx context.Context) error {
+func (f *faultyStore) awaitAvailable(ctx context.Context) error {
 	f.mu.Lock()
-	wait, away := f.wait, f.away
+	wait, away := f.wait, f.unavailable
 	f.mu.Unlock()
 	if away {
 		return objectapi.ErrUnavailable
@@ -200,18 +200,18 @@
 	return nil
 }
 
-func (f *frozen) Get(ctx context.Context, key string) (objectapi.Object, error) {
+func (f *faultyStore) Get(ctx context.Context, key string) (objectapi.Object, error) {
 	f.mu.Lock()
-	f.gets++
+	f.reads++
 	f.mu.Unlock()
-	if err := f.pass(ctx); err != nil {
+	if err := f.awaitAvailable(ctx); err != nil {
 		return objectapi.Object{}, err
 	}
 	return f.API.Get(ctx, key)
 }
 
-func (f *frozen) Put(ctx context.Context, key string, value []byte, version int64) (objectapi.Object, error) {
-	if err := f.pass(ctx); err != nil {
+func (f *faultyStore) Put(ctx context.Context, key string, value []byte, version int64) (objectapi.Object, error) {
+	if err := f.awaitAvailable(ctx); err != nil {
 		return objectapi.Object{}, err
 	}
 	return f.API.Put(ctx, key, value, version)
@@ -220,12 +220,12 @@
 // member is one process that may direct.
 type member struct {
 	state *discovery.State
-	api   *frozen
+	api   *faultyStore
 	lease *lease.Lease
 }
 
-// loading counts the engines that the process takes for loading.
-func (m *member) loading() int {
+// loadingCount counts the engines that the process takes for loadingCount.
+func (m *member) loadingCount() int {
 	loading := 0
 	for _, row := range m.state.Table.Members() {
 		if m.state.IsLoading(row.ID) {
@@ -235,13 +235,13 @@
 	return loading
 }
 
-// direct starts n processes over the same store and engines.
-func direct(t *testing.T, engines *fakeEngines, n int) []*member {
-	return directTold(t, engines, n, nil)
+// startDirectors starts n processes over the same store and engines.
+func startDirectors(t *testing.T, engines *fakeEngines, n int) []*member {
+	return startDirectorsWithNotices(t, engines, n, nil)
 }
 
-// directTold does so with holders that tell the others over a network.
-func directTold(t *testing.T, engines *fakeEngines, n int, between *network) []*member {
+// startDirectorsWithNotices does so with holders that tell the others over a network.
+func startDirectorsWithNotices(t *testing.T, engines *fakeEngines, n int, notices *network) []*member {
 	store := standin.New()
 	ctx, cancel := context.WithCancel(t.Context())
 	var done sync.WaitGroup
@@ -251,19 +251,19 @@
 	})
 	var out []*member
 	for i := range n {
-		m := &member{api: &frozen{API: store}}
+		m := &member{api: &faultyStore{API: store}}
 		m.state = discovery.NewState(fleet.Member{ID: fmt.Sprint("self", i)}, zap.NewNop(), time.Now(), func(*routes.Table) {})
 		for id, e := range engines.engines {
 			m.state.SetInstance(discovery.Instance{ID: id, Service: "llm", Model: "m", Weights: e.weights, Address: net.JoinHostPort("10.0.0.1", id)})
 		}
 		holder := fmt.Sprint("h", i)
-		m.lease = lease.New(lease.Config{Key: "k", Holder: holder, Term: term, Act: act, CallTimeout: time.Second}, m.api)
+		m.lease = lease.New(lease.Config{Key: "k", Holder: holder, Term: term, Act: actWindow, CallTimeout: time.Second}, m.api)
 		d := &rollout.Director{
-			State: m.state, Lease: m.lease, Engines: engines, Log: zap.NewNop(), Holder: holder, Handover: act,
+			State: m.state, Lease: m.lease, Engines: engines, Log: zap.NewNop(), Holder: holder, Handover: actWindow,
 			Within: 10 * time.Second, Now: time.Now,
 		}
-		if between != nil {
-			d.Notices, d.Fleet = between.join(m), func() int { return n }
+		if notices != nil {
+			d.Notices, d.Fleet = notices.join(m), func() int { return n }
 		}
 		done.Go(func() { d.Run(ctx) })
 		out = append(out, m)
@@ -271,17 +271,17 @@
 	return out
 }
 
-func name(members []*member, version int64) {
+func setTarget(members []*member, version int64) {
 	for _, m := range members {
 		m.state.SetTarget(discovery.TargetWeights{Model: "m", Version: version})
 	}
 }
 
-// holdersApart fails if orders of two holders are nearer than a term, or a number
+// checkOrderSpacing fails if orders of two holders are nearer than a term, or a number
 // falls: engines that check nothing would obey both.
-func holdersApart(t *testing.T, f *fakeEngines) {
+func checkOrderSpacing(t *testing.T, f *fakeEngines) {
 	t.Helper()
-	orders := f.given()
+	orders := f.sentOrders()
 	for i := 1; i < len(orders); i++ {
 		a, b := orders[i-1], orders[i]
 		if b.Fence < a.Fence {
@@ -296,22 +296,22 @@
 func TestWeightsReachAllEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1, 1, 1, 1, 1)
-		members := direct(t, f, 4)
+		members := startDirectors(t, f, 4)
 		time.Sleep(10 * time.Second)
-		name(members, 2)
+		setTarget(members, 2)
 		time.Sleep(7 * time.Second)
-		if f.at(2) != 9 {
-			t.Errorf("%d of 9 engines have the named weights", f.at(2))
+		if f.countAt(2) != 9 {
+			t.Errorf("%d of 9 engines have the named weights", f.countAt(2))
 		}
 		most := 0
-		f.set(func() { most = f.most })
+		f.withLock(func() { most = f.maxBusy })
 		if most > 4 {
 			t.Errorf("%d engines loaded at once", most)
 		}
-		if orders := f.given(); len(orders) != 9 {
+		if orders := f.sentOrders(); len(orders) != 9 {
 			t.Errorf("%d orders", len(orders))
 		}
-		holdersApart(t, f)
+		checkOrderSpacing(t, f)
 	})
 }
 
@@ -323,9 +323,9 @@
 func TestHolderFreezes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1, 1, 1, 1, 1)
-		members := direct(t, f, 4)
+		members := startDirectors(t, f, 4)
 		time.Sleep(10 * time.Second)
-		name(members, 2)
+		setTarget(members, 2)
 		time.Sleep(300 * time.Millisecond)
 		var holder *member
 		for _, m := range members {
@@ -337,39 +337,39 @@
 		time.Sleep(7 * time.Second)
 		holder.api.thaw()
 		time.Sleep(2700 * time.Millisecond)
-		if f.at(2) != 9 {
-			t.Errorf("%d of 9 engines have the named weights after 10 s", f.at(2))
+		if f.countAt(2) != 9 {
+			t.Errorf("%d of 9 engines have the named weights after 10 s", f.countAt(2))
 		}
-		holdersApart(t, f)
+		checkOrderSpacing(t, f)
 	})
 }
 
-// TestHolderFreezesAfterASlowReport lets a holder order at the end of the time that
+// TestHolderFreezesAfterSlowReport lets a holder order at the end of the time that
 // its last renewal gives it, and freezes it then.
 //
 // Another takes the lease over a whole term after that renewal, which is less than
 // a term after the order: it must wait for the rest before it orders.
-func TestHolderFreezesAfterASlowReport(t *testing.T) {
+func TestHolderFreezesAfterSlowReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1)
-		members := direct(t, f, 3)
+		members := startDirectors(t, f, 3)
 		time.Sleep(10 * time.Second)
-		f.set(func() { f.reportTakes = act - 10*time.Millisecond })
-		name(members, 2)
-		time.Sleep(act)
+		f.withLock(func() { f.reportDelay = actWindow - 10*time.Millisecond })
+		setTarget(members, 2)
+		time.Sleep(actWindow)
 		for _, m := range members {
 			if m.lease.IsHeld(time.Now()) {
 				m.api.freeze()
 				defer m.api.thaw()
 			}
 		}
-		f.set(func() { f.reportTakes = 0 })
-		before := len(f.given())
+		f.withLock(func() { f.reportDelay = 0 })
+		before := len(f.sentOrders())
 		time.Sleep(8 * time.Second)
-		if all := len(f.given()); before != 1 || all < 3 {
+		if all := len(f.sentOrders()); before != 1 || all < 3 {
 			t.Errorf("%d orders before the freeze, %d in all", before, all)
 		}
-		holdersApart(t, f)
+		checkOrderSpacing(t, f)
 	})
 }
 
@@ -380,17 +380,17 @@
 func TestOldestWeightsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1, 1, 1, 1, 1)
-		members := direct(t, f, 1)
+		members := startDirectors(t, f, 1)
 		time.Sleep(5 * time.Second)
-		name(members, 2)
+		setTarget(members, 2)
 		time.Sleep(1500 * time.Millisecond)
-		name(members, 3)
+		setTarget(members, 3)
 		time.Sleep(10 * time.Second)
-		if f.at(3) != 9 {
-			t.Errorf("%d of 9 engines have the newest weights", f.at(3))
+		if f.countAt(3) != 9 {
+			t.Errorf("%d of 9 engines have the newest weights", f.countAt(3))
 		}
 		second := false
-		for _, o := range f.given() {
+		for _, o := range f.sentOrders() {
 			if o.Version == 3 && o.before == 2 {
 				second = true
 			}
@@ -401,59 +401,59 @@
 	})
 }
 
-// TestUnansweredOrders loses every answer; then carries orders out only seconds
+// TestLostAndDelayedOrders loses every answer; then carries orders out only seconds
 // later, when others have been given.
 //
 // The engine's own report decides what came of an order, and an order that comes
 // late finds another number than it expects: no engine goes back.
-func TestUnansweredOrders(t *testing.T) {
+func TestLostAndDelayedOrders(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		t.Run(fmt.Sprint("late ", late), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFakeEngines(1, 1, 1)
-				members := direct(t, f, 2)
+				members := startDirectors(t, f, 2)
 				time.Sleep(5 * time.Second)
-				f.set(func() { f.mute, f.late = true, late })
-				name(members, 2)
+				f.withLock(func() { f.loseAnswers, f.delayOrders = true, late })
+				setTarget(members, 2)
 				time.Sleep(3 * time.Second)
-				f.set(func() { f.mute, f.late = false, false })
-				name(members, 3)
+				f.withLock(func() { f.loseAnswers, f.delayOrders = false, false })
+				setTarget(members, 3)
 				time.Sleep(15 * time.Second)
-				if f.at(3) != 3 {
-					t.Errorf("%d of 3 engines have the newest weights", f.at(3))
+				if f.countAt(3) != 3 {
+					t.Errorf("%d of 3 engines have the newest weights", f.countAt(3))
 				}
-				holdersApart(t, f)
+				checkOrderSpacing(t, f)
 			})
 		})
 	}
 }
 
-// TestNewerWeightsStay starts an engine that already has what is not yet named here.
-func TestNewerWeightsStay(t *testing.T) {
+// TestNewerWeightsAreNotReplaced starts an engine that already has what is not yet named here.
+func TestNewerWeightsAreNotReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(3, 1)
-		members := direct(t, f, 1)
-		name(members, 2)
+		members := startDirectors(t, f, 1)
+		setTarget(members, 2)
 		time.Sleep(10 * time.Second)
-		if orders := f.given(); f.at(3) != 1 || f.at(2) != 1 || len(orders) != 1 {
+		if orders := f.sentOrders(); f.countAt(3) != 1 || f.countAt(2) != 1 || len(orders) != 1 {
 			t.Errorf("orders %+v", orders)
 		}
 	})
 }
 
-// TestOthersLearnWhichEnginesLoad looks at a process that does not hold the lease.
+// TestFollowersLearnWhichEnginesLoad looks at a process that does not hold the lease.
 //
 // It sends nothing to an engine that loads: each request there would be refused,
 // and its second try would cost the retry budget.
-func TestOthersLearnWhichEnginesLoad(t *testing.T) {
+func TestFollowersLearnWhichEnginesLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1)
-		members := direct(t, f, 2)
+		members := startDirectors(t, f, 2)
 		time.Sleep(5 * time.Second)
-		name(members, 2)
+		setTarget(members, 2)
 		time.Sleep(800 * time.Millisecond)
 		for i, m := range members {
-			if got := m.loading(); got != 2 {
+			if got := m.loadingCount(); got != 2 {
 				t.Errorf("process %d takes %d engines for loading", i, got)
 			}
 		}
@@ -468,49 +468,49 @@
 	})
 }
 
-// TestCutHolderKeepsItsOrders cuts the holder off from the store while its engines load.
+// TestHolderWithoutStoreKeepsItsOrders cuts the holder off from the store while its engines load.
 //
 // It can't renew the lease and must not act any more, but what it has ordered goes on. If
 // it took these engines for free, it would send them requests that they reject, until it
 // reads the next holder's note. Engines that others have ordered stay marked in the same
 // way, and none for longer than orders take.
-func TestCutHolderKeepsItsOrders(t *testing.T) {
+func TestHolderWithoutStoreKeepsItsOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1)
-		f.loads = 3 * time.Second
-		members := direct(t, f, 2)
+		f.loadTime = 3 * time.Second
+		members := startDirectors(t, f, 2)
 		time.Sleep(5 * time.Second)
-		name(members, 2)
+		setTarget(members, 2)
 		time.Sleep(800 * time.Millisecond)
 		for _, m := range members {
-			m.api.cut(true)
+			m.api.setUnavailable(true)
 		}
 		time.Sleep(1500 * time.Millisecond)
 		for i, m := range members {
-			if got := m.loading(); got != 2 {
+			if got := m.loadingCount(); got != 2 {
 				t.Errorf("process %d takes %d engines for loading", i, got)
 			}
 		}
 		time.Sleep(10 * time.Second)
 		for i, m := range members {
-			if got := m.loading(); got != 0 {
+			if got := m.loadingCount(); got != 0 {
 				t.Errorf("process %d still takes %d engines for loading", i, got)
 			}
 		}
 	})
 }
 
-// TestOthersKnowWhatHasLoaded lets engines load while the platform's list still shows
+// TestFollowersLearnLoadedWeights lets engines load while the platform's list still shows
 // their old weights.
 //
 // Only the holder asks the engines. Without its word the other processes go on to name
 // the old weights in what they send, and the engines reject it for a second or two.
-func TestOthersKnowWhatHasLoaded(t *testing.T) {
+func TestFollowersLearnLoadedWeights(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1)
-		members := direct(t, f, 3)
+		members := startDirectors(t, f, 3)
 		time.Sleep(10 * time.Second)
-		name(members, 2)
+		setTarget(members, 2)
 		time.Sleep(6 * time.Second)
 		for i, m := range members {
 			for _, instance := range m.state.Instances() {
--- a/internal/coordination/rollout/entries_test.go
+++ b/internal/coordination/rollout/entries_test.go
@@ -10,23 +10,23 @@
 	"limpetwall/internal/state/routes"
 )
 
-// TestEnginesStartAgainUnderTheirIDs lets engines that carry out an order start again under
+// TestEnginesRestartUnderTheirIDs lets engines that carry out an order start again under
 // the ids that they had, with the weights of before.
 //
 // Their orders are lost with the earlier start. They are ordered anew, with the count of
 // orders of the new one, and have the named weights in time.
-func TestEnginesStartAgainUnderTheirIDs(t *testing.T) {
+func TestEnginesRestartUnderTheirIDs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1, 1)
 		for _, e := range f.engines {
 			e.born, e.orders = 100, 3
 		}
-		members := direct(t, f, 2)
+		members := startDirectors(t, f, 2)
 		time.Sleep(10 * time.Second)
-		name(members, 2)
+		setTarget(members, 2)
 		time.Sleep(700 * time.Millisecond)
 		restarted := map[string]bool{}
-		f.set(func() {
+		f.withLock(func() {
 			for id, e := range f.engines {
 				if e.busy {
 					f.engines[id] = &fakeEngine{weights: 1, born: 200}
@@ -38,11 +38,11 @@
 			t.Fatal("no engine was at it")
 		}
 		time.Sleep(7 * time.Second)
-		if n := f.at(2); n != 6 {
+		if n := f.countAt(2); n != 6 {
 			t.Errorf("%d of 6 engines have the named weights", n)
 		}
-		last := map[string]givenOrder{}
-		for _, o := range f.given() {
+		last := map[string]sentOrder{}
+		for _, o := range f.sentOrders() {
 			last[o.engine] = o
 		}
 		for id := range restarted {
@@ -53,7 +53,7 @@
 				t.Errorf("%s is still believed to have started at %d", id, i.Born)
 			}
 		}
-		holdersApart(t, f)
+		checkOrderSpacing(t, f)
 	})
 }
 
@@ -62,7 +62,7 @@
 func TestEnginesOfUnknownServicesAreNotOrdered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1)
-		members := direct(t, f, 1)
+		members := startDirectors(t, f, 1)
 		known := routes.New(1, 1, nil, []routes.Service{{Name: "llm"}}, nil, routes.Limits{})
 		members[0].state.SetRoutes(known)
 		for _, id := range []string{"e2", "e3"} {
@@ -70,15 +70,15 @@
 				ID: id, Revision: 2, Service: "unheard of", Model: "m", Weights: 1, Address: net.JoinHostPort("10.0.0.9", id),
 			})
 		}
-		name(members, 2)
+		setTarget(members, 2)
 		time.Sleep(10 * time.Second)
-		for _, o := range f.given() {
+		for _, o := range f.sentOrders() {
 			if o.engine == "e2" || o.engine == "e3" {
 				t.Errorf("%s is ordered", o.engine)
 			}
 		}
-		if f.at(2) != 2 {
-			t.Errorf("%d engines have the named weights", f.at(2))
+		if f.countAt(2) != 2 {
+			t.Errorf("%d engines have the named weights", f.countAt(2))
 		}
 	})
 }
--- a/internal/coordination/rollout/note.go
+++ b/internal/coordination/rollout/note.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// markedFor is how long an engine is taken for loading without a word of the holder:
+	// loadingMarkTTL is how long an engine is taken for loading without a word of the holder:
 	// under load orders take 3 to 5 s.
-	markedFor = 4 * time.Second
-	// loadedTold is how long the note tells what an engine has loaded: in that time the
+	loadingMarkTTL = 4 * time.Second
+	// loadedRetention is how long the note tells what an engine has loaded: in that time the
 	// platform's list does so too.
-	loadedTold = 5 * time.Second
+	loadedRetention = 5 * time.Second
 )
 
-// note is what a holder tells the others.
-type note struct {
+// leaseNote is what a holder tells the others.
+type leaseNote struct {
 	// Loading engines are to be sent nothing.
 	Loading []string `json:"loading"`
 	// Ordering tells that orders were sent lately or are about to be.
 	Ordering bool `json:"ordering"`
-	// Named tells how long versions have been named.
-	Named []discovery.VersionAge `json:"named"`
+	// VersionAges tells how long versions have been named.
+	VersionAges []discovery.VersionAge `json:"named"`
 	// Loaded holds the weights of engines that carried out orders lately. Engines reject
 	// what is sent to them under others, and the platform's list lags behind.
 	Loaded map[string]int64 `json:"loaded,omitempty"`
 }
 
-func decodeNote(data []byte) (note, error) {
-	var n note
+func decodeNote(data []byte) (leaseNote, error) {
+	var n leaseNote
 	if len(data) == 0 {
 		return n, nil
 	}
@@ -44,12 +44,12 @@
 }
 
 func (d *Director) writeNote(ordering bool) {
-	n := note{Ordering: ordering, Named: d.State.VersionAges(), Loading: make([]string, 0, len(d.loading))}
-	for id := range d.loading {
+	n := leaseNote{Ordering: ordering, VersionAges: d.State.VersionAges(), Loading: make([]string, 0, len(d.inFlight))}
+	for id := range d.inFlight {
 		n.Loading = append(n.Loading, id)
 	}
 	sort.Strings(n.Loading)
-	n.Loaded = d.lately()
+	n.Loaded = d.recentlyLoaded()
 	data, err := json.Marshal(n)
 	if err != nil {
 		d.Log.Error("lease note", zap.Error(err))
@@ -58,11 +58,11 @@
 	d.Lease.SetNote(data)
 }
 
-// lately lists the engines that have carried out orders within loadedTold.
-func (d *Director) lately() map[string]int64 {
+// recentlyLoaded lists the engines that have carried out orders within loadedTold.
+func (d *Director) recentlyLoaded() map[string]int64 {
 	out := map[string]int64{}
 	for id, l := range d.loaded {
-		if d.Now().Sub(l.at) > loadedTold {
+		if d.Now().Sub(l.at) > loadedRetention {
 			delete(d.loaded, id)
 			continue
 		}
@@ -71,62 +71,62 @@
 	return out
 }
 
-// follow takes over which engines the holder says are loading, and which have loaded. With
+// followHolder takes over which engines the holder says are loading, and which have loaded. With
 // read unset the lease could not be looked at: what is known is kept then, as the engines
 // go on with their orders and reject what they are sent meanwhile.
-func (d *Director) follow(read bool) {
-	for id, l := range d.loading {
+func (d *Director) followHolder(leaseRead bool) {
+	for id, l := range d.inFlight {
 		// This process's own orders are the next holder's to look after.
-		d.marked[id] = l.since
-		delete(d.loading, id)
+		d.markedLoading[id] = l.since
+		delete(d.inFlight, id)
 	}
-	if read {
-		d.followNote()
+	if leaseRead {
+		d.applyHolderNote()
 	}
-	for id, at := range d.marked {
-		if d.Now().Sub(at) > markedFor {
-			d.unmark(id)
+	for id, at := range d.markedLoading {
+		if d.Now().Sub(at) > loadingMarkTTL {
+			d.unmarkLoading(id)
 		}
 	}
 }
 
-func (d *Director) followNote() {
-	others, err := decodeNote(d.Lease.HolderNote())
+func (d *Director) applyHolderNote() {
+	holderNote, err := decodeNote(d.Lease.HolderNote())
 	if err != nil {
 		d.Log.Error("lease note does not decode", zap.Error(err))
 	}
-	for id, version := range others.Loaded {
+	for id, version := range holderNote.Loaded {
 		d.State.ObserveWeights(id, version)
 	}
-	for id := range d.marked {
-		if !slices.Contains(others.Loading, id) {
-			d.unmark(id)
+	for id := range d.markedLoading {
+		if !slices.Contains(holderNote.Loading, id) {
+			d.unmarkLoading(id)
 		}
 	}
-	for _, id := range others.Loading {
-		d.marked[id] = d.Now()
+	for _, id := range holderNote.Loading {
+		d.markedLoading[id] = d.Now()
 		d.State.SetLoading(id, true)
 	}
 }
 
-// unmark frees an engine that is no longer taken for loading.
-func (d *Director) unmark(id string) {
+// unmarkLoading frees an engine that is no longer taken for loading.
+func (d *Director) unmarkLoading(id string) {
 	d.State.SetLoading(id, false)
-	delete(d.marked, id)
+	delete(d.markedLoading, id)
 }
 
-func (d *Director) unmarkAll() {
-	for id := range d.marked {
-		d.unmark(id)
+func (d *Director) unmarkAllLoading() {
+	for id := range d.markedLoading {
+		d.unmarkLoading(id)
 	}
 }
 
-// adopt takes over what the note last read says of the age of versions.
-func (d *Director) adopt() {
+// mergeVersionAges takes over what the note last read says of the age of versions.
+func (d *Director) mergeVersionAges() {
 	n, err := decodeNote(d.Lease.LastNote())
 	if err != nil {
 		d.Log.Error("lease note does not decode", zap.Error(err))
 		return
 	}
-	d.State.MergeVersionAges(n.Named)
+	d.State.MergeVersionAges(n.VersionAges)
 }
--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -29,20 +29,20 @@
 // rollout stops at its first failure: an operator has to change the intent, which
 // gives it a new revision, and rolling back is a plan like any other.
 func Decide(v *config.View, members []fleet.Member) (orders []Order, blocked []Blocked) {
-	taken := map[string]string{}
-	for _, intent := range ordering(v) {
+	claimed := map[string]string{}
+	for _, intent := range orderingIntents(v) {
 		revision := v.Revisions[config.Ref{Kind: config.KindIntent, ID: intent.ID}]
-		state := survey(intent, revision, members)
-		if reason := state.conflict(taken); reason != "" {
+		status := statusOf(intent, revision, members)
+		if reason := status.claim(claimed); reason != "" {
 			blocked = append(blocked, Blocked{intent.ID, reason})
 			continue
 		}
-		if state.failure != "" {
-			blocked = append(blocked, Blocked{intent.ID, state.failure})
+		if status.failure != "" {
+			blocked = append(blocked, Blocked{intent.ID, status.failure})
 			continue
 		}
-		given, reason := state.next(intent)
-		for _, m := range given {
+		selected, reason := status.nextMembers(intent)
+		for _, m := range selected {
 			orders = append(orders, Order{Member: m, Intent: intent, Revision: revision})
 		}
 		if reason != "" {
@@ -52,8 +52,8 @@
 	return orders, blocked
 }
 
-// ordering lists the intents that let the system order engines, by id.
-func ordering(v *config.View) []*config.Intent {
+// orderingIntents lists the intents that let the system order engines, by id.
+func orderingIntents(v *config.View) []*config.Intent {
 	var out []*config.Intent
 	for _, intents := range v.Intents {
 		for _, i := range intents {
@@ -67,24 +67,24 @@
 }
 
 // survey is what one intent's endpoints are doing.
-type state struct {
+type intentStatus struct {
 	intent *config.Intent
-	// all matching endpoints that take orders; wrong ones do not serve what the
+	// endpoints matching endpoints that take orders; wrong ones do not serve what the
 	// intent names, and usable ones serve it or a version accepted meanwhile.
-	all     []fleet.Member
-	wrong   []fleet.Member
-	loading int
-	usable  int
-	failure string
+	endpoints []fleet.Member
+	outdated  []fleet.Member
+	loading   int
+	usable    int
+	failure   string
 }
 
-func survey(intent *config.Intent, revision uint64, members []fleet.Member) state {
-	s := state{intent: intent}
+func statusOf(intent *config.Intent, revision uint64, members []fleet.Member) intentStatus {
+	s := intentStatus{intent: intent}
 	for _, m := range members {
 		if m.Endpoint.Kind != fleet.KindEngine || !plan.MatchesLabels(intent, m.Endpoint) || m.State != fleet.Alive {
 			continue
 		}
-		s.all = append(s.all, m)
+		s.endpoints = append(s.endpoints, m)
 		if m.Endpoint.Loading {
 			s.loading++
 			continue
@@ -95,49 +95,49 @@
 		if plan.IsUsable(intent, m) {
 			s.usable++
 		}
-		if !serves(intent, m.Endpoint) {
-			s.wrong = append(s.wrong, m)
+		if !servesIntent(intent, m.Endpoint) {
+			s.outdated = append(s.outdated, m)
 		}
 	}
 	return s
 }
 
-func serves(i *config.Intent, e fleet.Endpoint) bool {
+func servesIntent(i *config.Intent, e fleet.Endpoint) bool {
 	return e.Model == i.Model && e.WeightVersion == i.WeightVersion && e.Adapter == i.Adapter && (i.Role == "" || e.Role == i.Role)
 }
 
-// conflict finds an endpoint that two intents order to different things: they
+// claim finds an endpoint that two intents order to different things: they
 // would take turns loading it for ever.
-func (s state) conflict(taken map[string]string) string {
-	for _, m := range s.all {
-		if other, ok := taken[m.ID]; ok {
+func (s intentStatus) claim(claimed map[string]string) string {
+	for _, m := range s.endpoints {
+		if other, ok := claimed[m.ID]; ok {
 			return fmt.Sprintf("endpoint %s is already ordered by intent %s", m.Endpoint.ID, other)
 		}
 	}
-	for _, m := range s.all {
-		taken[m.ID] = s.intent.ID
+	for _, m := range s.endpoints {
+		claimed[m.ID] = s.intent.ID
 	}
 	return ""
 }
 
-// next picks the endpoints to order now. One that is of no use to the intent
+// nextMembers picks the endpoints to order now. One that is of no use to the intent
 // goes first: loading it costs no capacity.
-func (s state) next(intent *config.Intent) (given []fleet.Member, reason string) {
-	sort.SliceStable(s.wrong, func(a, b int) bool {
-		return !plan.IsUsable(intent, s.wrong[a]) && plan.IsUsable(intent, s.wrong[b])
+func (s intentStatus) nextMembers(intent *config.Intent) (selected []fleet.Member, reason string) {
+	sort.SliceStable(s.outdated, func(a, b int) bool {
+		return !plan.IsUsable(intent, s.outdated[a]) && plan.IsUsable(intent, s.outdated[b])
 	})
-	room := intent.Loading() - s.loading
-	for _, m := range s.wrong {
-		if len(given) >= room {
+	freeSlots := intent.Loading() - s.loading
+	for _, m := range s.outdated {
+		if len(selected) >= freeSlots {
 			break
 		}
 		if plan.IsUsable(intent, m) {
 			if s.usable-1 < max(1, intent.MinEndpoints) {
-				return given, fmt.Sprintf("waiting: %d usable endpoints, %d must stay", s.usable, max(1, intent.MinEndpoints))
+				return selected, fmt.Sprintf("waiting: %d usable endpoints, %d must stay", s.usable, max(1, intent.MinEndpoints))
 			}
 			s.usable--
 		}
-		given = append(given, m)
+		selected = append(selected, m)
 	}
-	return given, ""
+	return selected, ""
 }
--- a/internal/coordination/rollout/runner.go
+++ b/internal/coordination/rollout/runner.go
@@ -20,9 +20,9 @@
 // LeaseTerm is the time without renewal after which another holder takes over.
 const LeaseTerm = 10 * time.Second
 
-// candidates is the number of entries that look at the lease, whatever the size
+// candidateCount is the number of entries that look at the lease, whatever the size
 // of the fleet.
-const candidates = 3
+const candidateCount = 3
 
 // orderTimeout bounds the acceptance of an order; the load itself goes on.
 const orderTimeout = 2 * time.Second
@@ -58,7 +58,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if len(ordering(r.Store.View())) > 0 && r.isCandidate() {
+		if len(orderingIntents(r.Store.View())) > 0 && r.isCandidate() {
 			r.step(ctx)
 		}
 	}
@@ -68,7 +68,7 @@
 // ends with it, and no term is lost.
 func (r *Runner) isCandidate() bool {
 	_, err := r.Lease.Fence(time.Now())
-	return err == nil || r.Node.IsChosen(candidates)
+	return err == nil || r.Node.IsChosen(candidateCount)
 }
 
 func (r *Runner) step(ctx context.Context) {
@@ -83,7 +83,7 @@
 	orders, blocked := Decide(r.Store.View(), r.Node.Table().Members())
 	r.setBlocked(blocked)
 	for _, o := range orders {
-		r.give(ctx, o)
+		r.sendOrder(ctx, o)
 	}
 }
 
@@ -102,7 +102,7 @@
 	r.blocked = blocked
 }
 
-func (r *Runner) give(ctx context.Context, o Order) {
+func (r *Runner) sendOrder(ctx context.Context, o Order) {
 	// Looked at again before each order: the ones before it took time.
 	fence, err := r.Lease.Fence(time.Now())
 	if err != nil {
