--- a/internal/transport/boundedqueue/queue.go
+++ b/internal/transport/boundedqueue/queue.go
@@ -11,8 +11,8 @@
 // Queue is a bounded first-in first-out queue, safe for many producers and
 // consumers. A buffered channel carries it.
 type Queue[T any] struct {
-	items   chan T
-	refused atomic.Int64
+	items    chan T
+	rejected atomic.Int64
 }
 
 // New returns a ring that holds up to size items.
@@ -21,20 +21,20 @@
 }
 
 // TryPush adds an item, or reports false when the ring is full.
-func (r *Queue[T]) TryPush(item T) bool {
+func (q *Queue[T]) TryPush(item T) bool {
 	select {
-	case r.items <- item:
+	case q.items <- item:
 		return true
 	default:
-		r.refused.Add(1)
+		q.rejected.Add(1)
 		return false
 	}
 }
 
 // Push adds an item, waiting for room until ctx ends.
-func (r *Queue[T]) Push(ctx context.Context, item T) error {
+func (q *Queue[T]) Push(ctx context.Context, item T) error {
 	select {
-	case r.items <- item:
+	case q.items <- item:
 		return nil
 	case <-ctx.Done():
 		return context.Cause(ctx)
@@ -42,9 +42,9 @@
 }
 
 // Pop takes the oldest item, waiting for one until ctx ends.
-func (r *Queue[T]) Pop(ctx context.Context) (T, error) {
+func (q *Queue[T]) Pop(ctx context.Context) (T, error) {
 	select {
-	case item := <-r.items:
+	case item := <-q.items:
 		return item, nil
 	case <-ctx.Done():
 		var zero T
@@ -53,9 +53,9 @@
 }
 
 // TryPop takes the oldest item if there is one.
-func (r *Queue[T]) TryPop() (T, bool) {
+func (q *Queue[T]) TryPop() (T, bool) {
 	select {
-	case item := <-r.items:
+	case item := <-q.items:
 		return item, true
 	default:
 		var zero T
@@ -64,4 +64,4 @@
 }
 
 // Rejected counts the items that a full ring refused.
-func (r *Queue[T]) Rejected() int64 { return r.refused.Load() }
+func (q *Queue[T]) Rejected() int64 { return q.rejected.Load() }
--- a/internal/transport/datagram/datagram.go
+++ b/internal/transport/datagram/datagram.go
@@ -30,10 +30,10 @@
 }
 
 // Send sends a message to hosts, and counts those to which it could not be sent.
-func (g *Socket) Send(data []byte, hosts []netip.Addr) (failed int) {
+func (s *Socket) Send(data []byte, hosts []netip.Addr) (failed int) {
 	for _, host := range hosts {
-		to := net.UDPAddrFromAddrPort(netip.AddrPortFrom(host, g.Port))
-		if _, err := g.Conn.WriteTo(data, to); err != nil {
+		to := net.UDPAddrFromAddrPort(netip.AddrPortFrom(host, s.Port))
+		if _, err := s.Conn.WriteTo(data, to); err != nil {
 			failed++
 		}
 	}
@@ -42,14 +42,14 @@
 
 // Receive hands on what arrives until ctx ends, and closes the connection. The bytes are
 // valid during the call of take.
-func (g *Socket) Receive(ctx context.Context, take func(data []byte, from net.Addr)) {
-	stop := context.AfterFunc(ctx, func() { g.Conn.Close() })
+func (s *Socket) Receive(ctx context.Context, handle func(data []byte, from net.Addr)) {
+	stop := context.AfterFunc(ctx, func() { s.Conn.Close() })
 	defer stop()
-	ReadLoop(g.Conn, take)
+	ReadLoop(s.Conn, handle)
 }
 
 // ReadLoop hands on what arrives until the connection is closed.
-func ReadLoop(conn net.PacketConn, take func(data []byte, from net.Addr)) {
+func ReadLoop(conn net.PacketConn, handle func(data []byte, from net.Addr)) {
 	buffer := make([]byte, MaxSize)
 	for {
 		n, from, err := conn.ReadFrom(buffer)
@@ -60,6 +60,6 @@
 			// Such as another host saying that nobody listens there.
 			continue
 		}
-		take(buffer[:n], from)
+		handle(buffer[:n], from)
 	}
 }
--- a/internal/transport/datagram/datagramtest/network.go
+++ b/internal/transport/datagram/datagramtest/network.go
@@ -14,18 +14,18 @@
 
 // Network carries datagrams between its connections.
 type Network struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	conns  map[netip.AddrPort]*conn
-	cut    map[netip.AddrPort]bool
-	loss   float64
-	sent   int
-	size   int
+	mu            sync.Mutex
+	random        *rand.Rand
+	conns         map[netip.AddrPort]*conn
+	isolated      map[netip.AddrPort]bool
+	loss          float64
+	sentDatagrams int
+	sentBytes     int
 }
 
 // New returns a network that loses nothing.
 func New() *Network {
-	return &Network{random: rand.New(rand.NewPCG(1, 1)), conns: map[netip.AddrPort]*conn{}, cut: map[netip.AddrPort]bool{}}
+	return &Network{random: rand.New(rand.NewPCG(1, 1)), conns: map[netip.AddrPort]*conn{}, isolated: map[netip.AddrPort]bool{}}
 }
 
 // conn is one address of the network; of net.PacketConn it has what the processes use.
@@ -52,25 +52,25 @@
 }
 
 // SetIsolated has all be lost that an address sends and is sent, or ends that.
-func (n *Network) SetIsolated(address netip.AddrPort, cut bool) {
+func (n *Network) SetIsolated(address netip.AddrPort, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[address] = cut
+	n.isolated[address] = isolated
 }
 
 // SetLoss has a share of all datagrams be lost.
-func (n *Network) SetLoss(share float64) {
+func (n *Network) SetLoss(fraction float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss = share
+	n.loss = fraction
 }
 
 // SentSinceLastCall counts the datagrams sent since the last call, and their bytes.
 func (n *Network) SentSinceLastCall() (datagrams, size int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	datagrams, size = n.sent, n.size
-	n.sent, n.size = 0, 0
+	datagrams, size = n.sentDatagrams, n.sentBytes
+	n.sentDatagrams, n.sentBytes = 0, 0
 	return datagrams, size
 }
 
@@ -79,11 +79,11 @@
 	n := c.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.sent++
-	n.size += len(data)
+	n.sentDatagrams++
+	n.sentBytes += len(data)
 	address := to.(*net.UDPAddr).AddrPort()
 	peer := n.conns[address]
-	if peer == nil || n.cut[address] || n.cut[c.address] || n.random.Float64() < n.loss {
+	if peer == nil || n.isolated[address] || n.isolated[c.address] || n.random.Float64() < n.loss {
 		return len(data), nil
 	}
 	select {
--- a/internal/transport/exposition/exposition.go
+++ b/internal/transport/exposition/exposition.go
@@ -34,31 +34,31 @@
 	c.registry.Each(func(name string, metric any) {
 		switch m := metric.(type) {
 		case metrics.Counter:
-			out <- value(name+"_total", prometheus.CounterValue, float64(m.Snapshot().Count()))
+			out <- newConstMetric(name+"_total", prometheus.CounterValue, float64(m.Snapshot().Count()))
 		case metrics.Gauge:
-			out <- value(name, prometheus.GaugeValue, float64(m.Snapshot().Value()))
+			out <- newConstMetric(name, prometheus.GaugeValue, float64(m.Snapshot().Value()))
 		case metrics.Timer:
-			out <- summary(name+"_seconds", m.Snapshot())
+			out <- newSummary(name+"_seconds", m.Snapshot())
 		}
 	})
 }
 
-func describe(name string) *prometheus.Desc {
+func newDesc(name string) *prometheus.Desc {
 	name = prefix + strings.NewReplacer(".", "_", "-", "_").Replace(name)
 	return prometheus.NewDesc(name, "see docs/OPERATORS.md", nil, nil)
 }
 
-func value(name string, kind prometheus.ValueType, v float64) prometheus.Metric {
-	return prometheus.MustNewConstMetric(describe(name), kind, v)
+func newConstMetric(name string, kind prometheus.ValueType, v float64) prometheus.Metric {
+	return prometheus.MustNewConstMetric(newDesc(name), kind, v)
 }
 
-// nanosecond is go-metrics' unit of time, in seconds.
-const nanosecond = 1e-9
+// secondsPerNanosecond is go-metrics' unit of time, in seconds.
+const secondsPerNanosecond = 1e-9
 
-func summary(name string, t metrics.Timer) prometheus.Metric {
+func newSummary(name string, t metrics.Timer) prometheus.Metric {
 	quantiles := map[float64]float64{}
 	for _, q := range []float64{0.5, 0.95, 0.99} {
-		quantiles[q] = t.Percentile(q) * nanosecond
+		quantiles[q] = t.Percentile(q) * secondsPerNanosecond
 	}
-	return prometheus.MustNewConstSummary(describe(name), uint64(t.Count()), float64(t.Sum())*nanosecond, quantiles)
+	return prometheus.MustNewConstSummary(newDesc(name), uint64(t.Count()), float64(t.Sum())*secondsPerNanosecond, quantiles)
 }
--- a/internal/transport/fault/fault.go
+++ b/internal/transport/fault/fault.go
@@ -62,7 +62,7 @@
 	return in.faults, in.changed
 }
 
-func (in *Injector) takeLostAnswer() bool {
+func (in *Injector) consumeLostAnswer() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.faults.LostAnswers == 0 {
@@ -102,7 +102,7 @@
 			http.Error(w, "injected outage", http.StatusServiceUnavailable)
 			return
 		}
-		if r.Method != http.MethodGet && in.takeLostAnswer() {
+		if r.Method != http.MethodGet && in.consumeLostAnswer() {
 			next.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}
--- a/internal/transport/hostlist/hostlist_test.go
+++ b/internal/transport/hostlist/hostlist_test.go
@@ -11,7 +11,7 @@
 	"limpetwall/internal/transport/hostlist/standin"
 )
 
-func filled(rows []hostlist.Host) *standin.List {
+func newList(rows []hostlist.Host) *standin.List {
 	l := standin.New(0)
 	for _, h := range rows {
 		l.Set(h)
@@ -20,12 +20,12 @@
 }
 
 func TestStandinContract(t *testing.T) {
-	hostlisttest.Run(t, func(_ *testing.T, rows []hostlist.Host) hostlist.List { return filled(rows) })
+	hostlisttest.Run(t, func(_ *testing.T, rows []hostlist.Host) hostlist.List { return newList(rows) })
 }
 
 func TestClientContract(t *testing.T) {
 	hostlisttest.Run(t, func(t *testing.T, rows []hostlist.Host) hostlist.List {
-		server := httptest.NewServer(filled(rows).Handler())
+		server := httptest.NewServer(newList(rows).Handler())
 		t.Cleanup(server.Close)
 		return hostlist.NewClient(server.URL, server.Client())
 	})
--- a/internal/transport/hostlist/standin/standin.go
+++ b/internal/transport/hostlist/standin/standin.go
@@ -26,15 +26,15 @@
 
 // Set adds or changes a host.
 func (l *List) Set(h hostlist.Host) {
-	l.later(func() { l.hosts[h.ID] = h })
+	l.applyAfterLag(func() { l.hosts[h.ID] = h })
 }
 
 // Remove drops a host.
 func (l *List) Remove(id string) {
-	l.later(func() { delete(l.hosts, id) })
+	l.applyAfterLag(func() { delete(l.hosts, id) })
 }
 
-func (l *List) later(change func()) {
+func (l *List) applyAfterLag(change func()) {
 	apply := func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
--- a/internal/transport/httpjson/httpjson.go
+++ b/internal/transport/httpjson/httpjson.go
@@ -13,8 +13,8 @@
 	"github.com/juju/errors"
 )
 
-// maxBody bounds an answer: the platform's values are at most 1 MB, lists hold many.
-const maxBody = 64 << 20
+// maxResponseSize bounds an answer: the platform's values are at most 1 MB, lists hold many.
+const maxResponseSize = 64 << 20
 
 // ErrNotSent tells that no connection was made, so the call had no effect.
 const ErrNotSent = errors.ConstError("request was not sent")
@@ -45,7 +45,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize))
 	if err != nil {
 		return errors.Annotatef(err, "reading answer of %s %s", method, path)
 	}
--- a/internal/transport/logging/asyncwriter.go
+++ b/internal/transport/logging/asyncwriter.go
@@ -13,68 +13,68 @@
 // must not stop the requests whose decisions are logged: when the ring is full,
 // lines are dropped and counted.
 type AsyncWriter struct {
-	lines *boundedqueue.Queue[[]byte]
-	out   io.Writer
-	done  sync.WaitGroup
-	end   context.CancelFunc
+	lines  *boundedqueue.Queue[[]byte]
+	out    io.Writer
+	done   sync.WaitGroup
+	cancel context.CancelFunc
 }
 
 // NewAsyncWriter starts a writer that holds up to size lines.
 func NewAsyncWriter(out io.Writer, size int) *AsyncWriter {
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &AsyncWriter{lines: boundedqueue.New[[]byte](size), out: out, end: cancel}
-	b.done.Go(func() { b.write(ctx) })
-	return b
+	w := &AsyncWriter{lines: boundedqueue.New[[]byte](size), out: out, cancel: cancel}
+	w.done.Go(func() { w.write(ctx) })
+	return w
 }
 
-// batch bounds one write to the output; one call for many lines saves processor time.
-const batch = 32 << 10
+// batchSize bounds one write to the output; one call for many lines saves processor time.
+const batchSize = 32 << 10
 
-func (b *AsyncWriter) write(ctx context.Context) {
+func (w *AsyncWriter) write(ctx context.Context) {
 	var buffer []byte
 	for {
-		line, err := b.lines.Pop(ctx)
+		line, err := w.lines.Pop(ctx)
 		if err != nil {
 			break
 		}
 		buffer = append(buffer[:0], line...)
-		for len(buffer) < batch {
-			next, ok := b.lines.TryPop()
+		for len(buffer) < batchSize {
+			next, ok := w.lines.TryPop()
 			if !ok {
 				break
 			}
 			buffer = append(buffer, next...)
 		}
 		// There is nobody to tell that the log can't be written.
-		b.out.Write(buffer)
+		w.out.Write(buffer)
 	}
 	for {
-		line, ok := b.lines.TryPop()
+		line, ok := w.lines.TryPop()
 		if !ok {
 			return
 		}
-		b.out.Write(line)
+		w.out.Write(line)
 	}
 }
 
 // Write implements io.Writer; it never waits.
-func (b *AsyncWriter) Write(line []byte) (int, error) {
-	b.lines.TryPush(append([]byte(nil), line...))
+func (w *AsyncWriter) Write(line []byte) (int, error) {
+	w.lines.TryPush(append([]byte(nil), line...))
 	return len(line), nil
 }
 
 // Sync implements zapcore.WriteSyncer.
-func (b *AsyncWriter) Sync() error { return nil }
+func (w *AsyncWriter) Sync() error { return nil }
 
 // Dropped counts the lines that found no room.
-func (b *AsyncWriter) Dropped() int64 { return b.lines.Rejected() }
+func (w *AsyncWriter) Dropped() int64 { return w.lines.Rejected() }
 
 // Close writes what is held, for at most limit.
-func (b *AsyncWriter) Close(limit time.Duration) {
-	b.end()
+func (w *AsyncWriter) Close(limit time.Duration) {
+	w.cancel()
 	finished := make(chan struct{})
 	go func() {
-		b.done.Wait()
+		w.done.Wait()
 		close(finished)
 	}()
 	select {
--- a/internal/transport/logging/asyncwriter_test.go
+++ b/internal/transport/logging/asyncwriter_test.go
@@ -11,30 +11,30 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// stuck is an output that nobody reads: its first write tells that it has begun,
+// blockedWriter is an output that nobody reads: its first write tells that it has begun,
 // and ends with the test.
-type stuck struct {
-	once       sync.Once
-	begun, end chan struct{}
+type blockedWriter struct {
+	once             sync.Once
+	started, release chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	s.once.Do(func() { close(s.begun) })
-	<-s.end
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	s.once.Do(func() { close(s.started) })
+	<-s.release
 	return len(p), nil
 }
 
-// TestReaderThatDoesNotRead logs to an output that nobody reads.
+// TestBlockedOutputDoesNotBlockLogging logs to an output that nobody reads.
 //
 // The requests whose decisions are logged go on; the lines that find no room are
 // counted, each of them.
-func TestReaderThatDoesNotRead(t *testing.T) {
-	out := &stuck{begun: make(chan struct{}), end: make(chan struct{})}
-	defer close(out.end)
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	out := &blockedWriter{started: make(chan struct{}), release: make(chan struct{})}
+	defer close(out.release)
 	b := NewAsyncWriter(out, 10)
 	log := New(b, zapcore.InfoLevel)
 	log.Info("first")
-	<-out.begun
+	<-out.started
 	for range 100 {
 		log.Info("decision")
 	}
@@ -44,7 +44,7 @@
 	b.Close(time.Millisecond)
 }
 
-func TestLinesComeWholeAndInOrder(t *testing.T) {
+func TestLinesWrittenWholeAndInOrder(t *testing.T) {
 	var out bytes.Buffer
 	b := NewAsyncWriter(&out, 1000)
 	log := New(b, zapcore.InfoLevel)
--- a/internal/transport/tlsfiles/tlsfiles.go
+++ b/internal/transport/tlsfiles/tlsfiles.go
@@ -15,8 +15,8 @@
 // ErrNoCertificate tells that a CA file holds no usable certificate.
 const ErrNoCertificate = errors.ConstError("no certificate in file")
 
-// recheckEvery bounds how often the files' times are looked at.
-const recheckEvery = 5 * time.Second
+// recheckInterval bounds how often the files' times are looked at.
+const recheckInterval = 5 * time.Second
 
 // Files names the PEM files of one identity.
 type Files struct {
@@ -28,75 +28,75 @@
 
 // Reloader serves the newest certificates of some files.
 type Reloader struct {
-	files   Files
-	mu      sync.Mutex
-	checked time.Time
-	stamp   [3]time.Time
-	cert    *tls.Certificate
-	pool    *x509.CertPool
+	files     Files
+	mu        sync.Mutex
+	lastCheck time.Time
+	modTimes  [3]time.Time
+	cert      *tls.Certificate
+	pool      *x509.CertPool
 }
 
 // NewReloader loads the files once, so that a wrong path is found at start.
 func NewReloader(files Files) (*Reloader, error) {
-	s := &Reloader{files: files}
-	if err := s.load(); err != nil {
+	r := &Reloader{files: files}
+	if err := r.load(); err != nil {
 		return nil, err
 	}
-	s.stamp = s.times()
-	return s, nil
+	r.modTimes = r.readModTimes()
+	return r, nil
 }
 
-func (s *Reloader) load() error {
-	cert, err := tls.LoadX509KeyPair(s.files.Cert, s.files.Key)
+func (r *Reloader) load() error {
+	cert, err := tls.LoadX509KeyPair(r.files.Cert, r.files.Key)
 	if err != nil {
-		return errors.Annotatef(err, "certificate %s", s.files.Cert)
+		return errors.Annotatef(err, "certificate %s", r.files.Cert)
 	}
 	var pool *x509.CertPool
-	if s.files.CA != "" {
-		pem, err := os.ReadFile(s.files.CA)
+	if r.files.CA != "" {
+		pem, err := os.ReadFile(r.files.CA)
 		if err != nil {
 			return errors.Trace(err)
 		}
 		pool = x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(pem) {
-			return errors.Annotatef(ErrNoCertificate, "%s", s.files.CA)
+			return errors.Annotatef(ErrNoCertificate, "%s", r.files.CA)
 		}
 	}
-	s.cert, s.pool = &cert, pool
+	r.cert, r.pool = &cert, pool
 	return nil
 }
 
-func (s *Reloader) times() [3]time.Time {
-	var stamp [3]time.Time
-	for i, name := range []string{s.files.Cert, s.files.Key, s.files.CA} {
+func (r *Reloader) readModTimes() [3]time.Time {
+	var modTimes [3]time.Time
+	for i, name := range []string{r.files.Cert, r.files.Key, r.files.CA} {
 		if info, err := os.Stat(name); err == nil {
-			stamp[i] = info.ModTime()
+			modTimes[i] = info.ModTime()
 		}
 	}
-	return stamp
+	return modTimes
 }
 
 // current returns the newest loadable certificates. Files that are half
 // replaced do not load; the last good ones stay in use until they do.
-func (s *Reloader) current() (*tls.Certificate, *x509.CertPool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if now := time.Now(); now.Sub(s.checked) >= recheckEvery {
-		s.checked = now
-		if stamp := s.times(); stamp != s.stamp && s.load() == nil {
-			s.stamp = stamp
+func (r *Reloader) current() (*tls.Certificate, *x509.CertPool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if now := time.Now(); now.Sub(r.lastCheck) >= recheckInterval {
+		r.lastCheck = now
+		if modTimes := r.readModTimes(); modTimes != r.modTimes && r.load() == nil {
+			r.modTimes = modTimes
 		}
 	}
-	return s.cert, s.pool
+	return r.cert, r.pool
 }
 
 // ServerConfig returns a configuration that asks clients for a certificate of the CA,
 // or for none when no CA is set.
-func (s *Reloader) ServerConfig() *tls.Config {
+func (r *Reloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			cert, pool := s.current()
+			cert, pool := r.current()
 			cfg := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{*cert}, NextProtos: []string{"h2", "http/1.1"}}
 			if pool != nil {
 				cfg.ClientAuth, cfg.ClientCAs = tls.RequireAndVerifyClientCert, pool
@@ -109,20 +109,20 @@
 // ClientConfig returns a configuration that shows the certificate and accepts servers
 // signed by the CA, whatever their name: processes know each other by IP number
 // and the CA signs the system's processes only.
-func (s *Reloader) ClientConfig() *tls.Config {
+func (r *Reloader) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS12,
 		InsecureSkipVerify: true, // VerifyConnection below checks the chain against the CA.
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			cert, _ := s.current()
+			cert, _ := r.current()
 			return cert, nil
 		},
-		VerifyConnection: s.verifyServer,
+		VerifyConnection: r.verifyServer,
 	}
 }
 
-func (s *Reloader) verifyServer(state tls.ConnectionState) error {
-	_, pool := s.current()
+func (r *Reloader) verifyServer(state tls.ConnectionState) error {
+	_, pool := r.current()
 	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
 		intermediates.AddCert(c)
