--- a/internal/coordination/configlog/configlog.go
+++ b/internal/coordination/configlog/configlog.go
@@ -1,8 +1,8 @@
-// Package configlog keeps the accepted changes in the platform's object API.
+// Package configlog stores the accepted changes in the platform's object API.
 //
 // One object, the head, holds the newest changes and names the snapshot that
-// holds the rest. Its conditional update is the only point of acceptance: two
-// operators who race write the same version, and one of them is refused.
+// holds the older ones. A change is accepted only by a conditional update of the
+// head: when two operators write at the same version, one of them is refused.
 package configlog
 
 import (
@@ -24,14 +24,16 @@
 	// maxHeadChanges bounds the head's size: older changes go into a snapshot.
 	maxHeadChanges             = 64
 	headChangesAfterCompaction = 32
-	// maxObjectSize leaves room for an object's own framing within objectapi.MaxValue.
+	// maxObjectSize bounds the head and each part of a snapshot. It leaves room for
+	// an object's own framing within objectapi.MaxValue.
 	maxObjectSize = 900 << 10
 )
 
-// Head is the stored head.
+// Head is the content of the object HeadKey.
 type Head struct {
 	Revision uint64 `json:"revision"`
-	// SnapshotRevision and SnapshotParts name the snapshot before Changes.
+	// SnapshotRevision and SnapshotParts identify the snapshot, which holds all
+	// changes before Changes.
 	SnapshotRevision uint64          `json:"snapshot_revision"`
 	SnapshotParts    int             `json:"snapshot_parts"`
 	Changes          []config.Change `json:"changes"`
@@ -39,15 +41,16 @@
 	version int64
 }
 
-// HasSameVersion reports whether two heads were read at the same version.
+// HasSameVersion reports whether two heads were read at the same
+// version of the object.
 func (h Head) HasSameVersion(o Head) bool { return h.version == o.version }
 
-// Log reads and extends the accepted changes.
+// Log reads the accepted changes and appends new ones.
 type Log struct {
 	api objectapi.API
 }
 
-// New returns a log kept in api.
+// New returns a log stored in api.
 func New(api objectapi.API) *Log { return &Log{api: api} }
 
 // Read returns the head; a log without changes has revision 0.
@@ -56,7 +59,7 @@
 	return decodeHead(o, err)
 }
 
-// Watch waits for a head newer than after, at most wait, and returns the newest.
+// Watch waits up to wait for a head newer than after and returns the newest.
 func (l *Log) Watch(ctx context.Context, after Head, wait time.Duration) (Head, error) {
 	o, err := l.api.Watch(ctx, HeadKey, after.version, wait)
 	return decodeHead(o, err)
@@ -77,8 +80,8 @@
 	return h, nil
 }
 
-// CatchUp brings a store to a head, reading the snapshot if the head's changes
-// do not reach back far enough.
+// CatchUp brings a store up to the head's revision. It reads the snapshot if the
+// head no longer has all changes that the store lacks.
 func (l *Log) CatchUp(ctx context.Context, store *config.Store, head Head) error {
 	current := store.View().Revision
 	headSuffices := len(head.Changes) > 0 && head.Changes[0].Revision <= current+1
@@ -114,8 +117,9 @@
 }
 
 // Append writes the change that follows head. base is the configuration at the
-// head's revision. Errors are objectapi's: ErrConflict if another change took
-// the place, ErrUnavailable if nothing was written, ErrOutcomeUnknown.
+// head's revision. Errors are objectapi's: ErrConflict if another change was
+// accepted first, ErrUnavailable if nothing was written, ErrOutcomeUnknown if the
+// write may have taken effect.
 func (l *Log) Append(ctx context.Context, head Head, base *config.View, c config.Change) error {
 	next := Head{
 		Revision:         c.Revision,
@@ -129,8 +133,8 @@
 	}
 	if len(next.Changes) > maxHeadChanges || len(value) > maxObjectSize {
 		if err := l.compact(ctx, &next, base); err != nil {
-			// Without a snapshot nothing was written to the head, whatever became
-			// of the snapshot itself.
+			// The head has not been written, so the change is not accepted, even
+			// if the outcome of the snapshot's write is unknown.
 			return errors.Annotatef(objectapi.ErrUnavailable, "snapshot: %v", err)
 		}
 		if value, err = json.Marshal(next); err != nil {
@@ -147,8 +151,8 @@
 }
 
 // compact writes a snapshot of base and drops older changes from the head. The
-// snapshot is written before the head names it, so a reader never follows a
-// name to a missing object. The last changes stay for readers slightly behind.
+// snapshot is written before the head names it, so readers never look for a
+// missing object. The last changes stay for readers that are slightly behind.
 func (l *Log) compact(ctx context.Context, next *Head, base *config.View) error {
 	data, err := config.EncodeView(base)
 	if err != nil {
@@ -180,8 +184,9 @@
 	return len(data)
 }
 
-// deleteOldSnapshots frees what no head names any more; a failure only leaves
-// them for the next time. The previous snapshot stays for readers underway.
+// deleteOldSnapshots deletes the snapshots before the previous one, which stays
+// for reads in flight. What it fails to delete is deleted after a later
+// compaction.
 func (l *Log) deleteOldSnapshots(ctx context.Context, current uint64) {
 	objects, err := l.api.List(ctx, snapshotPrefix)
 	if err != nil {
--- a/internal/coordination/plan/confirm.go
+++ b/internal/coordination/plan/confirm.go
@@ -17,18 +17,20 @@
 	Store *config.Store
 	Salt  SaltFunc
 	Now   func() time.Time
-	// MaxTries bounds the writes of one confirm.
+	// MaxTries bounds the attempts of one confirm: each reads the log and writes
+	// at most one change.
 	MaxTries int
 }
 
-// Confirm applies a plan and returns the one true answer.
+// Confirm applies a plan and returns what became of it.
 //
-// After a write whose answer was lost, a read that does not show it proves
-// nothing: the write may still be underway. The same plan is therefore written
-// again under the same version condition; whichever copy arrives first takes
-// the revision, the other meets a conflict, and the next read finds the plan's
-// id. "Not applied" is only said before any write was sent, or once the head
-// has moved past the version that a lost write was bound to.
+// When the answer to a write is lost, the write may still be in flight, and a
+// later read that does not show the change proves nothing. Confirm therefore
+// writes the same plan again with the same version condition. Whichever copy
+// arrives first becomes the revision, the other is refused with a conflict, and
+// the next read finds the plan's ID. Confirm returns "not applied" only if no
+// write can take effect any more: none was sent, each was refused, or the head
+// has moved past the version that the lost write was conditional on.
 func (c *Confirmer) Confirm(ctx context.Context, p Plan) Result {
 	outcomeUnknown := false
 	var lostWriteHead configlog.Head
@@ -71,13 +73,16 @@
 	return failureResult(p, outcomeUnknown, errors.New("too many racing changes"))
 }
 
-// applyLocally puts the accepted change in force here at once. The next reader of
-// the platform or of a peer repairs a failure, so it does not change the answer.
+// applyLocally puts the accepted change in force in this process at once. A
+// failure does not alter the answer: the next read from the platform or from a
+// peer brings the store up to date.
 func (c *Confirmer) applyLocally(p Plan, change config.Change) Result {
 	c.Store.Apply(change)
 	return Result{Outcome: Applied, PlanID: p.ID, Revision: change.Revision, Message: "the plan is applied"}
 }
 
+// failureResult returns Unknown if a write may still take effect, and
+// Unavailable if none can.
 func failureResult(p Plan, outcomeUnknown bool, err error) Result {
 	if outcomeUnknown {
 		return Result{
--- a/internal/coordination/plan/plan.go
+++ b/internal/coordination/plan/plan.go
@@ -1,6 +1,7 @@
-// Package plan decides what an operator's request would change and whether a
-// confirmed plan may still be applied. Decisions are pure; the plan itself
-// travels with the operator, so no process keeps it and any entry can confirm.
+// Package plan works out what an operator's request would change and whether a
+// confirmed plan can still be applied. Both are pure functions; Confirmer then
+// writes the change to the log. The operator sends the whole plan with the
+// confirm, so no process stores it and any entry can confirm it.
 package plan
 
 import (
@@ -26,7 +27,7 @@
 	Delete []config.Ref      `json:"delete,omitempty"`
 }
 
-// Base is the revision of a document that the plan was made on; 0 if it did not exist.
+// Base is the revision of a document when the plan was made; 0 if it did not exist.
 type Base struct {
 	config.Ref
 	Revision uint64 `json:"revision"`
@@ -54,7 +55,8 @@
 	Host     string `json:"host"`
 	Endpoint string `json:"endpoint"`
 	Service  string `json:"service"`
-	// Change is "gains", "loses" or "reloads".
+	// Change is "gains" or "loses" (the service), or "reloads" (another model,
+	// weight version or adapter for it).
 	Change string `json:"change"`
 	Detail string `json:"detail,omitempty"`
 }
@@ -63,7 +65,7 @@
 type Plan struct {
 	ID       string `json:"id"`
 	Operator string `json:"operator"`
-	// Nonce tells two plans with the same content apart.
+	// Nonce distinguishes two plans with the same content.
 	Nonce        string    `json:"nonce"`
 	At           time.Time `json:"at"`
 	BaseRevision uint64    `json:"base_revision"`
@@ -74,12 +76,12 @@
 	Warnings     []string  `json:"warnings"`
 }
 
-// Matches tells whether an intent selects an endpoint by its labels and role.
+// Matches reports whether an intent selects an endpoint by its labels and role.
 func Matches(i *config.Intent, e fleet.Endpoint) bool {
 	return (i.Role == "" || i.Role == e.Role) && MatchesLabels(i, e)
 }
 
-// MatchesLabels tells whether an endpoint carries all of an intent's labels.
+// MatchesLabels reports whether an endpoint has all of an intent's labels.
 func MatchesLabels(i *config.Intent, e fleet.Endpoint) bool {
 	for name, value := range i.Labels {
 		if e.Labels[name] != value {
@@ -89,7 +91,7 @@
 	return true
 }
 
-// Check returns all findings on a request against a view.
+// Check validates a request against a view and returns all findings.
 func Check(v *config.View, r Request) *finding.List {
 	var l finding.List
 	if len(r.Put)+len(r.Delete) == 0 {
@@ -125,8 +127,8 @@
 	seen[ref] = true
 }
 
-// checkNoSalt refuses a salt from outside: an operator who could set one could
-// make two customers share contexts.
+// checkNoSalt rejects a customer document that sets the salt: an operator who
+// could set it could make two customers share contexts.
 func checkNoSalt(l *finding.List, path string, d config.Document) {
 	var c config.Customer
 	if d.Kind == config.KindCustomer && json.Unmarshal(d.Spec, &c) == nil && len(c.Salt) > 0 {
@@ -138,7 +140,7 @@
 	return config.Change{Puts: r.Put, Deletes: r.Delete}
 }
 
-// New builds the plan of a checked request.
+// New returns the plan of a request that passed Check.
 func New(v *config.View, r Request, members []fleet.Member, operator, nonce string, now time.Time) Plan {
 	p := Plan{
 		Operator: operator, Nonce: nonce, At: now.UTC(), BaseRevision: v.Revision, Request: r,
@@ -176,7 +178,8 @@
 	return string(normalizeSpec(kind, a)) == string(normalizeSpec(kind, b))
 }
 
-// normalizeSpec orders a spec's fields and leaves out the system's own.
+// normalizeSpec returns a spec with its fields in sorted order and without the
+// fields that the system sets.
 func normalizeSpec(kind config.Kind, spec json.RawMessage) []byte {
 	fields := map[string]any{}
 	if json.Unmarshal(spec, &fields) != nil {
@@ -189,7 +192,8 @@
 	return data
 }
 
-// Digest is the plan's id: it covers everything that a confirm applies.
+// Digest returns the plan's ID, a hash of its other fields. It covers everything
+// that a confirm applies.
 func (p Plan) Digest() string {
 	p.ID = ""
 	data, _ := json.Marshal(p)
@@ -197,27 +201,30 @@
 	return hex.EncodeToString(h[:])
 }
 
-// IsIntact tells whether the plan is as an entry made it.
+// IsIntact reports whether the plan is as an entry made it: whether its ID still
+// matches its content.
 func (p Plan) IsIntact() bool {
 	return hmac.Equal([]byte(p.ID), []byte(p.Digest()))
 }
 
-// Outcome of a confirm.
+// Outcome is what became of a confirmed plan.
 type Outcome string
 
 // The outcomes of a confirm.
 const (
-	// Applied: the change is accepted at the revision given.
+	// Applied: the change was accepted as Result.Revision.
 	Applied Outcome = "applied"
-	// BaseMoved: not applied, somebody else changed what the plan was made on.
+	// BaseMoved: not applied, a document of the plan has changed since the plan
+	// was made.
 	BaseMoved Outcome = "not_applied_base_moved"
 	// Invalid: not applied, the request no longer passes the checks.
 	Invalid Outcome = "not_applied_invalid"
-	// Unavailable: not applied, the platform could not be reached.
+	// Unavailable: not applied, the platform could not be reached or other changes
+	// came first on each attempt.
 	Unavailable Outcome = "not_applied_unavailable"
-	// Unknown: the platform did not say; ask again with the plan's id.
+	// Unknown: the platform did not report the outcome; ask again with the plan's ID.
 	Unknown Outcome = "unknown"
-	// Ready: nothing stands against applying the plan (not an answer to operators).
+	// Ready: the plan can be applied (never an answer to operators).
 	Ready Outcome = "ready"
 )
 
@@ -238,8 +245,9 @@
 	Message     string            `json:"message"`
 }
 
-// Decide tells what a confirm of p means at a view: already applied, moved,
-// invalid, or ready to be written as the next revision.
+// Decide returns what a confirm of p would do at a view: Applied if the plan is
+// already in it, BaseMoved, Invalid, or Ready if the plan can be written as the
+// next revision.
 func Decide(v *config.View, p Plan) Result {
 	if revision, ok := v.Plans[p.ID]; ok {
 		return Result{Outcome: Applied, PlanID: p.ID, Revision: revision, Message: "the plan is applied"}
@@ -268,8 +276,9 @@
 // SaltFunc makes a customer's secret salt.
 type SaltFunc func() []byte
 
-// BuildChange builds the accepted change of a plan that Decide found ready. A
-// customer keeps its salt for life: with a new one its contexts would be lost.
+// BuildChange returns the change to write for a plan that Decide found ready. A
+// customer keeps its salt until it is deleted: with a new one its contexts would
+// be lost.
 func BuildChange(v *config.View, p Plan, newSalt SaltFunc, now time.Time) (config.Change, error) {
 	c := config.Change{
 		Revision: v.Revision + 1, PlanID: p.ID, Operator: p.Operator, At: now.UTC(),
@@ -296,7 +305,7 @@
 	return c, nil
 }
 
-// Redacted returns a document as operators may see it.
+// Redacted returns a document as operators may see it: without a customer's salt.
 func Redacted(d config.Document) config.Document {
 	d.Spec = normalizeSpec(d.Kind, d.Spec)
 	return d
@@ -333,6 +342,8 @@
 	return out
 }
 
+// intentsByService returns the intent by which a member's endpoint is to serve
+// each service: the first that matches it.
 func intentsByService(v *config.View, m fleet.Member) map[string]*config.Intent {
 	out := map[string]*config.Intent{}
 	for service, intents := range v.Intents {
@@ -381,19 +392,22 @@
 	return out
 }
 
+// servesWeightsOf reports whether an endpoint serves the model, weight version and
+// adapter that an intent asks for.
 func servesWeightsOf(i *config.Intent, e fleet.Endpoint) bool {
 	return (i.Model == "" || i.Model == e.Model) &&
 		i.Accepts(e.WeightVersion) &&
 		(i.Adapter == "" || i.Adapter == e.Adapter)
 }
 
-// IsIsAvailable reports whether a member's endpoint may get new work: a leaving or
-// dead one may not, and one that was leaving before it fell silent neither.
+// IsAvailable reports whether a member's endpoint can get new work. A loading,
+// leaving or dead one can't, nor can one that was leaving before it stopped
+// responding.
 func IsAvailable(m fleet.Member) bool {
 	return m.Endpoint.ID != "" && !m.Endpoint.Loading && !m.WasLeaving && (m.State == fleet.Alive || m.State == fleet.Suspect)
 }
 
-// IsUsable tells whether an endpoint may serve an intent's requests now.
+// IsUsable reports whether an endpoint can serve an intent's requests now.
 func IsUsable(i *config.Intent, m fleet.Member) bool {
 	return IsAvailable(m) && Matches(i, m.Endpoint) && servesWeightsOf(i, m.Endpoint)
 }
--- a/internal/coordination/plan/plan_test.go
+++ b/internal/coordination/plan/plan_test.go
@@ -21,13 +21,14 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// faultyAPI fails the next calls as told: before or after they took effect.
+// faultyAPI makes writes fail before or after they take effect.
 type faultyAPI struct {
 	*standin.Store
-	// script holds one letter a write: 'o' succeeds, 'l' loses the answer after
-	// the write took effect, 'n' loses the request, 'u' is refused unsent.
+	// script holds one letter for each write: 'o' succeeds, 'l' loses the answer
+	// after the write took effect, 'n' loses the request, 'u' fails before the
+	// request is sent.
 	script string
-	// delayedWrites holds writes whose request was lost on the way and may still arrive.
+	// delayedWrites holds writes whose request was lost and may still arrive.
 	delayedWrites []func()
 	downRead      bool
 }
@@ -76,11 +77,12 @@
 	return plan.New(v, r, nil, "op", nonce, epoch)
 }
 
-// TestConfirmOutcomeMatchesLog confirms under each fate of its writes.
+// TestConfirmOutcomeMatchesLog confirms a plan while its writes fail in different
+// ways.
 //
-// The operator sees "applied" only for a change that is in the log, "not
-// applied" only for one that never will be, and otherwise "unknown"; a lost
-// write that arrives late must not turn an earlier "not applied" into a lie.
+// Operators must get "applied" only for a change that is in the log, "not
+// applied" only for one that never will be, and otherwise "unknown". A lost write
+// that arrives late must not make an earlier "not applied" false.
 func TestConfirmOutcomeMatchesLog(t *testing.T) {
 	tests := []struct {
 		name, script string
@@ -90,8 +92,8 @@
 		{"its answer is lost", "l", plan.Applied},
 		{"its request is lost, the second succeeds", "no", plan.Applied},
 		{"request lost, then answer lost", "nl", plan.Applied},
-		{"refused unsent", "u", plan.Unavailable},
-		{"request lost, then refused unsent", "nu", plan.Unknown},
+		{"it fails before it is sent", "u", plan.Unavailable},
+		{"request lost, then fails before it is sent", "nu", plan.Unknown},
 		{"every request is lost", "nnnnnn", plan.Unknown},
 		{"answer lost and the log can't be read again", "lr", plan.Unknown},
 	}
@@ -106,7 +108,7 @@
 			p := newPlan(store.View(), "n", "one")
 			result := c.Confirm(t.Context(), p)
 			if result.Outcome != test.want {
-				t.Fatalf("%+v, want %s", result, test.want)
+				t.Fatalf("got %+v, want outcome %s", result, test.want)
 			}
 			for _, write := range api.delayedWrites {
 				write()
@@ -118,18 +120,18 @@
 			}
 			applied := head.Revision == 1
 			if result.Outcome == plan.Applied && !applied || result.Outcome == plan.Unavailable && applied {
-				t.Errorf("answer %s, applied %v", result.Outcome, applied)
+				t.Errorf("got outcome %s, but change in the log: %v", result.Outcome, applied)
 			}
-			// Asking again with the same plan settles it.
+			// Confirming the same plan again must apply it exactly once.
 			again := newConfirmer(api.Store, config.NewStore()).Confirm(t.Context(), p)
 			if again.Outcome != plan.Applied || again.Revision != 1 {
-				t.Errorf("asked again: %+v", again)
+				t.Errorf("confirmed again: got %+v, want applied at revision 1", again)
 			}
 		})
 	}
 }
 
-// singleReadAPI lets one read through.
+// singleReadAPI answers the first read and fails all later ones.
 type singleReadAPI struct {
 	*faultyAPI
 	read bool
@@ -145,9 +147,9 @@
 
 // TestConcurrentConfirms confirms conflicting and independent plans at once.
 //
-// Of eight operators who change the same document one is applied and seven are
-// told what moved; eight who change different documents are all applied. The
-// revisions count without a gap.
+// When eight operators change the same document, one plan is applied and the
+// other seven are answered with the document that changed. When they change
+// different documents, all are applied. The revisions have no gap.
 func TestConcurrentConfirms(t *testing.T) {
 	for _, sameDocument := range []bool{true, false} {
 		api := standin.New()
@@ -171,7 +173,7 @@
 			case v.Outcome == plan.Applied:
 				applied++
 			case v.Outcome != plan.BaseMoved || len(v.Differences) != 1:
-				t.Errorf("loser: %+v", v)
+				t.Errorf("got %+v, want a changed base with one difference", v)
 			}
 		}
 		head, err := configlog.New(api).Read(t.Context())
@@ -180,13 +182,14 @@
 			want = 1
 		}
 		if err != nil || applied != want || head.Revision != uint64(want) {
-			t.Errorf("same %v: %d applied, revision %d, %v", sameDocument, applied, head.Revision, err)
+			t.Errorf("same document %v: got %d applied, revision %d, error %v", sameDocument, applied, head.Revision, err)
 		}
 	}
 }
 
-// TestLogSurvivesCompaction applies many changes and reads them back from
-// nothing, from the middle and from just behind.
+// TestLogSurvivesCompaction applies enough changes to compact the head several
+// times. A store must read the same configuration from the log when it is empty,
+// when it is far behind and when it is one change behind.
 func TestLogSurvivesCompaction(t *testing.T) {
 	api := standin.New()
 	store := config.NewStore()
@@ -216,16 +219,17 @@
 		want, _ := config.EncodeView(store.View())
 		got, _ := config.EncodeView(s.View())
 		if string(got) != string(want) {
-			t.Errorf("%s: differs after catching up", name)
+			t.Errorf("%s store: configuration differs after catching up", name)
 		}
 	}
 	objects, _ := api.List(t.Context(), "config.")
 	if len(objects) > 4 {
-		t.Errorf("%d objects left behind", len(objects))
+		t.Errorf("got %d objects, want at most 4", len(objects))
 	}
 }
 
-// TestRevisionIsMonotonic applies random orders of changes and snapshots.
+// TestRevisionIsMonotonic applies changes and loads snapshots in random order. The
+// store's revision must never decrease.
 func TestRevisionIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var changes []config.Change
@@ -246,17 +250,18 @@
 			}
 			now := store.View().Revision
 			if now < last {
-				t.Fatalf("revision %d after %d", now, last)
+				t.Fatalf("got revision %d after %d", now, last)
 			}
 			if got, want := len(store.View().Documents), len(views[now].Documents); got != want {
-				t.Fatalf("revision %d has %d documents, want %d", now, got, want)
+				t.Fatalf("revision %d: got %d documents, want %d", now, got, want)
 			}
 			last = now
 		}
 	})
 }
 
-// TestSaltIsSetOnlyBySystem gives a customer its salt once and for good.
+// TestSaltIsSetOnlyBySystem checks that an update leaves a customer's salt as it
+// was, and that operators can neither read nor set it.
 func TestSaltIsSetOnlyBySystem(t *testing.T) {
 	store := config.NewStore()
 	api := standin.New()
@@ -274,16 +279,16 @@
 		}
 	}
 	if got := string(store.View().Customers["c"].Salt); got != "salt-1" {
-		t.Errorf("salt %q", got)
+		t.Errorf("got salt %q, want salt-1", got)
 	}
 	redacted := plan.Redacted(config.Document{Ref: customer("1").Ref, Spec: store.View().Documents[customer("1").Ref]})
 	if strings.Contains(string(redacted.Spec), "salt") {
-		t.Errorf("operators see %s", redacted.Spec)
+		t.Errorf("salt in redacted document: %s", redacted.Spec)
 	}
 	salted := customer("1")
 	salted.Spec = json.RawMessage(strings.Replace(string(salted.Spec), "{", `{"salt":"c2FsdA==",`, 1))
 	if plan.Check(store.View(), plan.Request{Put: []config.Document{salted}}).Err() == nil {
-		t.Error("an operator could set a salt")
+		t.Error("Check accepts a request that sets a salt")
 	}
 }
 
@@ -314,14 +319,14 @@
 			got = append(got, e.Endpoint+" "+e.Change)
 		}
 		if strings.Join(got, ", ") != test.effects || len(p.Warnings) != test.warnings {
-			t.Errorf("%s: effects %v, warnings %v", test.put.Spec, got, p.Warnings)
+			t.Errorf("%s: got effects %v, warnings %v", test.put.Spec, got, p.Warnings)
 		}
 		if !p.IsIntact() {
 			t.Error("plan is not intact")
 		}
 		p.Request.Put[0].ID = "other"
 		if p.IsIntact() {
-			t.Error("a changed plan passes for intact")
+			t.Error("a changed plan is still intact")
 		}
 	}
 }
@@ -333,7 +338,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		v, err := config.DecodeView(data)
 		if err == nil && v.Customers == nil {
-			t.Error("a view without tables")
+			t.Error("decoded view has a nil Customers map")
 		}
 	})
 }
@@ -347,7 +352,7 @@
 			return
 		}
 		if plan.Check(config.Empty(), r).Err() == nil && len(r.Put)+len(r.Delete) == 0 {
-			t.Error("an empty request passes")
+			t.Error("Check accepts an empty request")
 		}
 	})
 }
