--- a/internal/coordination/plan/plan.go
+++ b/internal/coordination/plan/plan.go
@@ -167,14 +167,14 @@
 	switch {
 	case !exists:
 		return Create
-	case sameSpec(d.Kind, old, d.Spec):
+	case isSameSpec(d.Kind, old, d.Spec):
 		return Unchanged
 	default:
 		return Update
 	}
 }
 
-func sameSpec(kind config.Kind, a, b json.RawMessage) bool {
+func isSameSpec(kind config.Kind, a, b json.RawMessage) bool {
 	return string(normalizeSpec(kind, a)) == string(normalizeSpec(kind, b))
 }
 
@@ -360,13 +360,13 @@
 	var out []string
 	for service, intents := range after.Intents {
 		for _, i := range intents {
-			usable, wrongVersion := 0, 0
+			usable, otherWeights := 0, 0
 			for _, m := range members {
 				if !IsAvailable(m) || !Matches(i, m.Endpoint) {
 					continue
 				}
 				if !servesWeightsOf(i, m.Endpoint) {
-					wrongVersion++
+					otherWeights++
 					continue
 				}
 				usable++
@@ -374,7 +374,7 @@
 			if usable < max(1, i.MinEndpoints) {
 				out = append(out, fmt.Sprintf(
 					"intent %s of service %s would have %d usable endpoints, below %d (%d more match but serve another model or version)",
-					i.ID, service, usable, max(1, i.MinEndpoints), wrongVersion))
+					i.ID, service, usable, max(1, i.MinEndpoints), otherWeights))
 			}
 		}
 	}
--- a/internal/coordination/plan/plan_test.go
+++ b/internal/coordination/plan/plan_test.go
@@ -19,7 +19,7 @@
 	"limpetwall/internal/transport/objectapi/standin"
 )
 
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var testTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // faultyAPI makes writes fail before or after they take effect.
 type faultyAPI struct {
@@ -61,7 +61,7 @@
 func newConfirmer(api objectapi.API, store *config.Store) *plan.Confirmer {
 	return &plan.Confirmer{
 		Log: configlog.New(api), Store: store, Salt: func() []byte { return []byte("salt") },
-		Now: func() time.Time { return epoch }, MaxTries: 6,
+		Now: func() time.Time { return testTime }, MaxTries: 6,
 	}
 }
 
@@ -74,7 +74,7 @@
 	for _, id := range ids {
 		r.Put = append(r.Put, serviceDocument(id))
 	}
-	return plan.New(v, r, nil, "op", nonce, epoch)
+	return plan.New(v, r, nil, "op", nonce, testTime)
 }
 
 // TestConfirmOutcomeMatchesLog confirms a plan while its writes fail in different
@@ -168,12 +168,12 @@
 		}
 		group.Wait()
 		applied := 0
-		for _, v := range results {
+		for _, result := range results {
 			switch {
-			case v.Outcome == plan.Applied:
+			case result.Outcome == plan.Applied:
 				applied++
-			case v.Outcome != plan.BaseMoved || len(v.Differences) != 1:
-				t.Errorf("got %+v, want a changed base with one difference", v)
+			case result.Outcome != plan.BaseMoved || len(result.Differences) != 1:
+				t.Errorf("got %+v, want a changed base with one difference", result)
 			}
 		}
 		head, err := configlog.New(api).Read(t.Context())
@@ -198,8 +198,8 @@
 	log := configlog.New(api)
 	const changes = 200
 	for i := range changes {
-		if v := c.Confirm(t.Context(), newPlan(store.View(), fmt.Sprint(i), fmt.Sprintf("s-%d", i%50))); v.Outcome != plan.Applied {
-			t.Fatalf("change %d: %+v", i, v)
+		if result := c.Confirm(t.Context(), newPlan(store.View(), fmt.Sprint(i), fmt.Sprintf("s-%d", i%50))); result.Outcome != plan.Applied {
+			t.Fatalf("change %d: %+v", i, result)
 		}
 		if i == 70 || i == 198 {
 			head, _ := log.Read(t.Context())
@@ -273,9 +273,9 @@
 		return config.Document{Ref: config.Ref{Kind: config.KindCustomer, ID: "c"}, Spec: json.RawMessage(spec)}
 	}
 	for _, share := range []string{"1", "2"} {
-		p := plan.New(store.View(), plan.Request{Put: []config.Document{customer(share)}}, nil, "op", share, epoch)
-		if v := c.Confirm(t.Context(), p); v.Outcome != plan.Applied {
-			t.Fatalf("%+v", v)
+		p := plan.New(store.View(), plan.Request{Put: []config.Document{customer(share)}}, nil, "op", share, testTime)
+		if result := c.Confirm(t.Context(), p); result.Outcome != plan.Applied {
+			t.Fatalf("%+v", result)
 		}
 	}
 	if got := string(store.View().Customers["c"].Salt); got != "salt-1" {
@@ -313,7 +313,7 @@
 		{intent("x", "v1"), "", 0},
 	}
 	for _, test := range tests {
-		p := plan.New(base, plan.Request{Put: []config.Document{test.put}}, members, "op", "n", epoch)
+		p := plan.New(base, plan.Request{Put: []config.Document{test.put}}, members, "op", "n", testTime)
 		var got []string
 		for _, e := range p.Effects {
 			got = append(got, e.Endpoint+" "+e.Change)
