--- a/internal/coordination/configlog/configlog.go
+++ b/internal/coordination/configlog/configlog.go
@@ -41,8 +41,8 @@
 	version int64
 }
 
-// HasSameVersion reports whether two heads were read at the same
-// version of the object.
+// HasSameVersion reports whether two heads were read at the same version of the
+// object.
 func (h Head) HasSameVersion(o Head) bool { return h.version == o.version }
 
 // Log reads the accepted changes and appends new ones.
@@ -100,6 +100,7 @@
 	return nil
 }
 
+// snapshotKey pads the revision to 20 digits, so that keys sort by revision.
 func snapshotKey(revision uint64, part int) string {
 	return fmt.Sprintf("%s%020d.%d", snapshotPrefix, revision, part)
 }
--- a/internal/coordination/plan/plan.go
+++ b/internal/coordination/plan/plan.go
@@ -1,7 +1,7 @@
 // Package plan works out what an operator's request would change and whether a
-// confirmed plan can still be applied. Both are pure functions; Confirmer then
-// writes the change to the log. The operator sends the whole plan with the
-// confirm, so no process stores it and any entry can confirm it.
+// confirmed plan can still be applied. These decisions are pure functions;
+// Confirmer then writes the change to the log. The operator sends the whole plan
+// with the confirm, so no process stores it and any entry can confirm it.
 package plan
 
 import (
@@ -342,8 +342,8 @@
 	return out
 }
 
-// intentsByService returns the intent by which a member's endpoint is to serve
-// each service: the first that matches it.
+// intentsByService returns, for each service that a member's endpoint is to serve,
+// the first intent that matches the endpoint.
 func intentsByService(v *config.View, m fleet.Member) map[string]*config.Intent {
 	out := map[string]*config.Intent{}
 	for service, intents := range v.Intents {
--- a/internal/coordination/plan/plan_test.go
+++ b/internal/coordination/plan/plan_test.go
@@ -199,7 +199,7 @@
 	const changes = 200
 	for i := range changes {
 		if result := c.Confirm(t.Context(), newPlan(store.View(), fmt.Sprint(i), fmt.Sprintf("s-%d", i%50))); result.Outcome != plan.Applied {
-			t.Fatalf("change %d: %+v", i, result)
+			t.Fatalf("change %d: got %+v, want applied", i, result)
 		}
 		if i == 70 || i == 198 {
 			head, _ := log.Read(t.Context())
