--- a/internal/coordination/rollout/note.go
+++ b/internal/coordination/rollout/note.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// loadingMarkTTL is how long an engine is taken for loading without a word of the holder:
-	// under load orders take 3 to 5 s.
+	// loadingMarkTTL is how long an engine is treated as loading without an update from the
+	// holder: under load, orders take 3 to 5 s.
 	loadingMarkTTL = 4 * time.Second
-	// loadedRetention is how long the note tells what an engine has loaded: in that time the
-	// platform's list does so too.
+	// loadedRetention is how long the note lists what an engine has loaded: by the end of it
+	// the platform's list shows it too.
 	loadedRetention = 5 * time.Second
 )
 
 // leaseNote is what a holder tells the others.
 type leaseNote struct {
-	// Loading engines are to be sent nothing.
+	// Loading lists the engines that must not be sent requests.
 	Loading []string `json:"loading"`
-	// Ordering tells that orders were sent lately or are about to be.
+	// Ordering is set if orders were sent recently or are about to be sent.
 	Ordering bool `json:"ordering"`
 	// VersionAges tells how long versions have been named.
 	VersionAges []discovery.VersionAge `json:"named"`
-	// Loaded holds the weights of engines that carried out orders lately. Engines reject
-	// what is sent to them under others, and the platform's list lags behind.
+	// Loaded holds the weights of engines that recently carried out orders. Engines reject
+	// requests for other weights, and the platform's list lags behind.
 	Loaded map[string]int64 `json:"loaded,omitempty"`
 }
 
@@ -52,7 +52,7 @@
 	n.Loaded = d.recentlyLoaded()
 	data, err := json.Marshal(n)
 	if err != nil {
-		d.Log.Error("lease note", zap.Error(err))
+		d.Log.Error("cannot encode lease note", zap.Error(err))
 		return
 	}
 	d.Lease.SetNote(data)
@@ -76,7 +76,7 @@
 // go on with their orders and reject what they are sent meanwhile.
 func (d *Director) followHolder(leaseRead bool) {
 	for id, l := range d.inFlight {
-		// This process's own orders are the next holder's to look after.
+		// The next holder takes over the orders of this process.
 		d.markedLoading[id] = l.since
 		delete(d.inFlight, id)
 	}
--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -1,6 +1,8 @@
-// Package rollout decides which engines to order to load what their intents name.
-// It keeps no state: what is underway, done or failed stands in the members' own
-// rows, so a new lease holder goes on where the last one stopped.
+// Package rollout decides which engines to order to load the model and version that
+// their intents name, and sends these orders while this process holds the lease.
+//
+// Decide keeps no state: which orders are in progress, done or failed is in the members'
+// own rows, so a new lease holder continues where the last one stopped.
 package rollout
 
 import (
@@ -12,22 +14,22 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// Order is one engine to be given its intent's model and version.
+// Order asks for one engine to be ordered to load its intent's model and version.
 type Order struct {
 	Member   fleet.Member
 	Intent   *config.Intent
 	Revision uint64
 }
 
-// Blocked tells why an intent's rollout does not go on.
+// Blocked is the reason why an intent's rollout does not proceed.
 type Blocked struct {
 	Intent string `json:"intent"`
 	Reason string `json:"reason"`
 }
 
-// Decide returns the orders to give now, and which rollouts are blocked. A
+// Decide returns the orders to send now, and the rollouts that are blocked. A
 // rollout stops at its first failure: an operator has to change the intent, which
-// gives it a new revision, and rolling back is a plan like any other.
+// gives it a new revision. A rollback is a plan like any other.
 func Decide(v *config.View, members []fleet.Member) (orders []Order, blocked []Blocked) {
 	claimed := map[string]string{}
 	for _, intent := range orderingIntents(v) {
@@ -52,7 +54,7 @@
 	return orders, blocked
 }
 
-// orderingIntents lists the intents that let the system order engines, by id.
+// orderingIntents returns the intents that let the system order engines, sorted by id.
 func orderingIntents(v *config.View) []*config.Intent {
 	var out []*config.Intent
 	for _, intents := range v.Intents {
@@ -66,7 +68,7 @@
 	return out
 }
 
-// survey is what one intent's endpoints are doing.
+// intentStatus is what the endpoints of one intent are doing.
 type intentStatus struct {
 	intent *config.Intent
 	// endpoints matching endpoints that take orders; wrong ones do not serve what the
--- a/internal/coordination/rollout/runner.go
+++ b/internal/coordination/rollout/runner.go
@@ -14,7 +14,7 @@
 	"limpetwall/internal/transport/rpc"
 )
 
-// PollInterval is how often the holder decides and candidates look at the lease.
+// PollInterval is how often the holder decides and candidates check the lease.
 const PollInterval = 2 * time.Second
 
 // LeaseTerm is the time without renewal after which another holder takes over.
@@ -24,10 +24,10 @@
 // of the fleet.
 const candidateCount = 3
 
-// orderTimeout bounds the acceptance of an order; the load itself goes on.
+// orderTimeout limits the wait for an order's acceptance; the load itself takes longer.
 const orderTimeout = 2 * time.Second
 
-// Runner gives orders while this process holds the lease.
+// Runner sends the orders of Decide while this process holds the lease.
 type Runner struct {
 	Node  *gossip.Node
 	Store *config.Store
@@ -39,16 +39,16 @@
 	blocked []Blocked
 }
 
-// Blocked lists the rollouts that do not go on, as of the holder's last look;
-// nil on processes that are no holder.
+// Blocked lists the rollouts that do not proceed, as of the holder's last decision;
+// it is nil on processes that do not hold the lease.
 func (r *Runner) Blocked() []Blocked {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.blocked
 }
 
-// Run looks at the lease and gives orders until ctx ends. Without an intent that
-// orders engines it makes no platform call.
+// Run checks the lease and sends orders until ctx ends. Without an intent that lets the
+// system order engines it makes no platform call.
 func (r *Runner) Run(ctx context.Context) {
 	ticker := time.NewTicker(PollInterval)
 	defer ticker.Stop()
@@ -64,8 +64,9 @@
 	}
 }
 
-// isCandidate keeps a holder at it when the epoch's choice moves on: its lease
-// ends with it, and no term is lost.
+// isCandidate reports whether this process should check the lease. A holder remains a
+// candidate when the epoch's choice moves to others: otherwise its lease would have to
+// expire, and a term would be lost.
 func (r *Runner) isCandidate() bool {
 	_, err := r.Lease.Fence(time.Now())
 	return err == nil || r.Node.IsChosen(candidateCount)
@@ -78,7 +79,7 @@
 		r.setBlocked(nil)
 		return
 	}
-	// The number is known to the fleet before the first order under it.
+	// The fleet learns the fencing token before the first order is sent under it.
 	r.Node.RaiseFence(fence)
 	orders, blocked := Decide(r.Store.View(), r.Node.Table().Members())
 	r.setBlocked(blocked)
@@ -103,7 +104,7 @@
 }
 
 func (r *Runner) sendOrder(ctx context.Context, o Order) {
-	// Looked at again before each order: the ones before it took time.
+	// The lease is checked again before each order, since the previous orders took time.
 	fence, err := r.Lease.Fence(time.Now())
 	if err != nil {
 		return
