--- a/internal/coordination/rollout/director.go
+++ b/internal/coordination/rollout/director.go
@@ -18,85 +18,85 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// EngineReport is what an engine says of itself.
+// EngineReport is what an engine reports about itself.
 type EngineReport struct {
 	// Weights is the version of each model.
 	Weights map[string]int64
-	// Busy tells that an order is being carried out.
+	// Busy is set while the engine carries out an order.
 	Busy bool
 	// Orders is the number of orders accepted since the engine's start.
 	Orders int64
-	// Born is that start, 0 if the engine does not say.
+	// Born is that start, 0 if the engine does not report it.
 	Born int64
 }
 
-// WeightsOrder makes an engine load a version of a model.
+// WeightsOrder orders an engine to load a version of a model.
 type WeightsOrder struct {
 	Model   string
 	Version int64
 	Holder  string
 	Fence   uint64
 	// Expect is the number of orders accepted so far. An order whose answer was lost
-	// may be carried out seconds later; by then the number differs, and it is void.
+	// may be carried out seconds later; by then the number differs, and the engine rejects it.
 	Expect int64
 }
 
-// Errors of an order that was surely not accepted.
+// Errors of an order that the engine has certainly not accepted.
 const (
-	// ErrBusy: another order is in progress, or the number of orders differs.
+	// ErrBusy is returned when another order is in progress, or the number of orders differs.
 	ErrBusy = errors.ConstError("engine is busy or has accepted other orders")
-	// ErrFenced: the engine has seen a higher fencing number.
+	// ErrFenced is returned when the engine has seen a higher fencing token.
 	ErrFenced = errors.ConstError("fencing number is too low")
-	// ErrOrderRefused: the engine does not know the order.
+	// ErrOrderRefused is returned when the engine does not know the order.
 	ErrOrderRefused = errors.ConstError("engine refuses the order")
-	// ErrOtherInstance: another instance has the engine's address.
+	// ErrOtherInstance is returned when another instance has the engine's address.
 	ErrOtherInstance = errors.ConstError("another instance answers at the engine's address")
 )
 
-// Engines speaks to engines directly.
+// Engines calls engines directly.
 type Engines interface {
 	Report(ctx context.Context, i discovery.Instance) (EngineReport, error)
-	// Order returns nil when the engine has accepted the order, or holds to it already.
+	// Order returns nil when the engine has accepted the order, or had accepted it already.
 	Order(ctx context.Context, i discovery.Instance, o WeightsOrder) error
 }
 
-// Announcer tells the other processes what this one has written to the lease.
+// Announcer sends to the other processes what this one has written to the lease.
 type Announcer interface {
 	Announce(version int64, value []byte)
 }
 
-// Director brings engines to the weights that operators name, by orders of its
-// own, while this process holds the lease. All processes run one.
+// Director orders engines to load the target weights, the versions that operators named,
+// while this process holds the lease. All processes run one.
 type Director struct {
 	State   *discovery.State
 	Lease   *lease.Lease
 	Engines Engines
 	Log     *zap.Logger
 	Holder  string
-	// Handover is how long after taking the lease from another no order is given:
-	// orders of two holders must be further apart than the engines' lease.
+	// Handover is how long no order is sent after the lease was taken over from another
+	// holder: orders of two holders must be further apart than the engines' lease.
 	Handover time.Duration
-	// Within is the time in which named weights should be in use everywhere.
+	// Within is the time in which target weights should be in use everywhere.
 	Within time.Duration
-	// Now is a clock that goes on while the host is suspended.
+	// Now is a clock that continues while the host is suspended.
 	Now func() time.Time
-	// Notices, if set, tells the followers of each renewal; see informed.
+	// Notices, if set, announces each renewal to the followers; see noticeTimeLeft.
 	Notices Announcer
-	// Fleet, if set, counts the processes that look at the lease.
+	// Fleet, if set, returns the number of processes that check the lease.
 	Fleet func() int
 
-	// lastOrderAt is when this process last sent an order; announced tells that the
-	// lease's note says so.
+	// lastOrderAt is when this process last sent an order; orderingAnnounced is set while
+	// the lease's note says that this process orders.
 	lastOrderAt       time.Time
 	orderingAnnounced bool
 	// meanLoadTime is a moving average of how long orders take.
 	meanLoadTime time.Duration
-	// inFlight are the engines that carry out an order of this process.
+	// inFlight holds the orders of this process that engines are carrying out, by engine.
 	inFlight map[string]inFlightOrder
-	// markedLoading are the engines that another holder says are loading, or that this process
-	// ordered before it lost the lease, with when that was last known.
+	// markedLoading holds the engines that another holder reported as loading, or that this
+	// process ordered before it lost the lease, each with the time when that was last known.
 	markedLoading map[string]time.Time
-	// loaded are the engines that this process saw load lately.
+	// loaded holds the weights of engines whose orders this process recently saw end.
 	loaded map[string]loadedWeights
 }
 
@@ -115,47 +115,48 @@
 
 const (
 	// holderIdleInterval is how often the holder renews the lease while nothing is to be ordered,
-	// and followerLook how often the others look at it: all processes do, and every call
-	// counts at the store. When weights are named they look at once.
+	// and followerIdleInterval how often the others check it: all processes do, and every call
+	// counts at the store. When target weights change they check it at once.
 	holderIdleInterval   = 1200 * time.Millisecond
 	followerIdleInterval = 2400 * time.Millisecond
 	// busyInterval is how often the holder decides while engines are to be ordered, and
-	// the others read which of them load.
+	// the others read which engines are loading.
 	busyInterval = 250 * time.Millisecond
-	// fleetInterval is the mean time between two looks of all followers together while engines
-	// are to be ordered and the holder tells them nothing: a hundred that looked every
-	// busyLook made 400 calls a second.
+	// fleetInterval is the mean time between two checks of the lease by any of the followers
+	// while engines are to be ordered and the holder's notices do not arrive: a hundred followers
+	// that checked every busyInterval made 400 calls a second.
 	fleetInterval = 10 * time.Millisecond
-	// maxFollowerInterval bounds a follower's pause for it: to take over it must have seen the lease
-	// unchanged for a term.
+	// maxFollowerInterval limits the pause that results for one follower: to take over, it must
+	// have seen the lease unchanged for a term.
 	maxFollowerInterval = time.Second
-	// noticeTTLBusy and toldIdle are how long a follower goes by what the holder told it last,
-	// while engines are to be ordered and else: five notices, and two, that may be lost.
+	// noticeTTLBusy and noticeTTLIdle are how long a follower relies on the holder's last notice,
+	// while engines are to be ordered and otherwise. They cover five and two notices, which may
+	// be lost.
 	noticeTTLBusy = 5 * busyInterval
 	noticeTTLIdle = 2*holderIdleInterval + holderIdleInterval/2
-	// engineTimeout bounds one report or order.
+	// engineTimeout limits one report or order.
 	engineTimeout = 500 * time.Millisecond
-	// loadTimeout is when an accepted order is looked at as lost, and silentGivenUp
-	// when an engine that does not report any more leaves its place to another.
+	// loadTimeout is when an accepted order is considered lost, and silenceTimeout when an
+	// engine that no longer reports makes way for another.
 	loadTimeout    = 8 * time.Second
 	silenceTimeout = time.Second
-	// loadingFraction of a model's engines carry out orders at once, two at least: more
+	// loadingFraction of a model's engines carry out orders at once, but at least two: more
 	// slow each other down at the weight store.
 	loadingFraction = 0.2
-	// defaultLoadTime is assumed of an order before one has ended: an engine ends its runs,
-	// then loads.
+	// defaultLoadTime is the assumed duration of an order before one has ended: an engine ends
+	// its runs, then loads.
 	defaultLoadTime = 1500 * time.Millisecond
-	// deadlineFraction is the part of the time for new weights in which all engines should have
-	// them. If that takes more orders at once, more are given.
+	// deadlineFraction is the fraction of Within after which all engines should have new weights.
+	// If that takes more orders at once, more are sent.
 	deadlineFraction = 0.7
-	// maxLoadingFraction is the part of a model's engines that carry out orders at once even
-	// then: the others must serve meanwhile, and take over the runs of those that load.
-	// With 12 engines 0.5 gave 0.03 less worth over a day with a rollout, two new and two
-	// leaving engines than 0.34, which gives as much as 0.25.
+	// maxLoadingFraction is the fraction of a model's engines that carry out orders at once even
+	// then: the others must serve in the meantime, and take over the runs of those that load.
+	// With 12 engines, 0.5 gave 0.03 less worth than 0.34 over a day with a rollout, two new and
+	// two leaving engines; 0.34 gives as much as 0.25.
 	maxLoadingFraction = 0.34
 )
 
-// Run directs until ctx ends.
+// Run checks the lease and sends orders while holding it, until ctx ends.
 func (d *Director) Run(ctx context.Context) {
 	d.inFlight, d.markedLoading, d.loaded = map[string]inFlightOrder{}, map[string]time.Time{}, map[string]loadedWeights{}
 	held := false
@@ -186,7 +187,7 @@
 		return holderIdleInterval
 	}
 	if left := d.noticeTimeLeft(pending); left > 0 {
-		// Followers that all miss a notice should not all look at the same moment.
+		// Followers that all miss a notice should not all check the lease at the same moment.
 		return left + rand.N(holderIdleInterval)
 	}
 	if pending {
@@ -195,7 +196,7 @@
 	return followerIdleInterval
 }
 
-// followerBusyInterval is a follower's pause between looks while engines are to be ordered.
+// followerBusyInterval returns a follower's pause between checks while engines are to be ordered.
 func (d *Director) followerBusyInterval() time.Duration {
 	if d.Fleet == nil {
 		return busyInterval
@@ -203,10 +204,11 @@
 	return min(max(busyInterval, time.Duration(d.Fleet())*fleetInterval), maxFollowerInterval)
 }
 
-// noticeTimeLeft is how much longer a follower may go by the holder's notices instead of looking
-// at the lease. In half a minute with two rollouts a hundred followers' looks were 10,000 of
-// 22,000 calls to the store. A holder that dies or is cut off falls silent, and the followers
-// look again before its term is over: nobody takes over later for the notices.
+// noticeTimeLeft returns how much longer a follower may rely on the holder's notices instead
+// of checking the lease. In half a minute with two rollouts, the checks of a hundred followers
+// were 10,000 of 22,000 calls to the store. A holder that dies or is cut off sends no more
+// notices, and the followers check the lease again before its term is over: the notices delay
+// no takeover.
 func (d *Director) noticeTimeLeft(pending bool) time.Duration {
 	lastNotice := d.Lease.LastObservedRenewal()
 	if lastNotice.IsZero() {
@@ -219,7 +221,7 @@
 	return ttl - d.Now().Sub(lastNotice)
 }
 
-// IsLeader tells whether this process holds the lease.
+// IsLeader reports whether this process holds the lease.
 func (d *Director) IsLeader() bool { return d.Lease.IsHeld(d.Now()) }
 
 func (d *Director) hasEngines() bool {
@@ -231,7 +233,7 @@
 	return false
 }
 
-// isRolloutPending tells whether an engine has not the weights that are named.
+// isRolloutPending reports whether an order is in flight or an engine lacks its target weights.
 func (d *Director) isRolloutPending() bool {
 	if len(d.inFlight) > 0 {
 		return true
@@ -277,16 +279,16 @@
 	return true
 }
 
-// announceRenewal passes on what was just written to the lease.
+// announceRenewal announces what was just written to the lease.
 func (d *Director) announceRenewal() {
 	if d.Notices != nil {
 		d.Notices.Announce(d.Lease.LastWrite())
 	}
 }
 
-// isHandingOver tells whether orders of the holder before may be too near. A holder
-// says in its note that it is about to order before it does: one that has not said
-// so has ordered nothing for long.
+// isHandingOver reports whether orders of the previous holder may be too recent. A holder
+// writes to its note that it is about to order before it does so: one whose note does not
+// say so has not ordered for long.
 func (d *Director) isHandingOver() bool {
 	at, left := d.Lease.TakenOver()
 	if at.IsZero() || d.Now().Sub(at) >= d.Handover {
@@ -296,13 +298,13 @@
 	return err != nil || previousNote.Ordering
 }
 
-// pollOrders asks the engines that were given orders how far they are.
+// pollOrders asks the engines with an order in flight for their progress.
 func (d *Director) pollOrders(ctx context.Context) {
 	for id, l := range d.inFlight {
 		report, err := d.report(ctx, l.instance)
 		now, known := d.State.Instance(id)
 		if !known || now.Born != l.instance.Born {
-			// An order ends with the start that accepted it; the engine is ordered anew.
+			// An order ends with the start of the engine that accepted it; the engine is ordered again.
 			d.Log.Info("order lost with its engine", zap.String("endpoint", id), zap.Bool("known", known), zap.Int64("ordered", l.version))
 			delete(d.inFlight, id)
 			continue
@@ -348,7 +350,7 @@
 	return report, err
 }
 
-// sendOrders gives the orders that Decide asks for.
+// sendOrders sends the orders that Decide returns.
 func (d *Director) sendOrders(ctx context.Context) {
 	members := d.members()
 	orders, _ := Decide(d.desiredView(members), members)
@@ -360,15 +362,16 @@
 	}
 }
 
-// members are the fleet's, the oldest weights first: they are the first that must
-// not be served any more. Newer weights than those named are shown as the named
-// ones: they are never ordered back.
+// members returns the fleet's members, those with the oldest weights first: these are the
+// first that must not be served any more. Weights newer than the target are shown as the
+// target, so that engines are never ordered back.
 func (d *Director) members() []fleet.Member {
 	members := d.State.Table.Members()
 	sort.SliceStable(members, func(a, b int) bool { return versionOf(members[a]) < versionOf(members[b]) })
 	for i := range members {
 		e := &members[i].Endpoint
-		// An endpoint that is not used for its old weights is to be ordered all the more.
+		// An endpoint that gets no requests because its weights are old must be ordered all the
+		// more, so Loading is set for actual orders only.
 		e.Loading = d.State.IsLoading(members[i].ID)
 		if target := d.State.TargetVersion(e.Model); versionOf(members[i]) > target {
 			e.WeightVersion = discovery.VersionName(target)
@@ -377,7 +380,7 @@
 	return members
 }
 
-// versionOf is the number of a member's weights, 0 if it has none.
+// versionOf returns the version number of a member's weights, 0 if it has none.
 func versionOf(m fleet.Member) int64 {
 	version, err := strconv.ParseInt(m.Endpoint.WeightVersion, 10, 64)
 	if err != nil {
@@ -386,7 +389,7 @@
 	return version
 }
 
-// desiredView states what is wanted in the form that Decide reads.
+// desiredView returns the target weights as the intents that Decide reads.
 func (d *Director) desiredView(members []fleet.Member) *config.View {
 	change := config.Change{Revision: 1}
 	engines, versions := map[[2]string]int{}, map[string][]string{}
@@ -420,8 +423,8 @@
 	return config.Empty().With(change)
 }
 
-// maxConcurrentLoads is how many engines may carry out orders together: few, unless the time
-// for the oldest named version that is not in use everywhere runs out.
+// maxConcurrentLoads returns how many engines may carry out orders at once: few, unless the
+// time for the oldest target version that is not in use everywhere runs out.
 func (d *Director) maxConcurrentLoads(model string, engines int) int {
 	usual := max(2, int(loadingFraction*float64(engines)))
 	behind, since := d.State.EndpointsBehind(model)
@@ -438,8 +441,8 @@
 	return max(usual, min(needed, int(maxLoadingFraction*float64(engines))))
 }
 
-// sendOrder orders one engine. Its own report comes first: it tells what the engine has
-// accepted so far, which the platform's list tells late.
+// sendOrder orders one engine. It first asks the engine for its report, which has the orders
+// accepted so far; the platform's list shows them late.
 func (d *Director) sendOrder(ctx context.Context, i discovery.Instance, version int64) {
 	report, err := d.report(ctx, i)
 	if err != nil {
@@ -453,7 +456,7 @@
 		}
 		return
 	}
-	// Looked at again before each order: what came before it took time.
+	// The lease is checked again before each order, since what came before it took time.
 	fence, err := d.Lease.Fence(d.Now())
 	if err != nil {
 		return
--- a/internal/coordination/rollout/note.go
+++ b/internal/coordination/rollout/note.go
@@ -21,13 +21,13 @@
 	loadedRetention = 5 * time.Second
 )
 
-// leaseNote is what a holder tells the others.
+// leaseNote is what the lease holder reports to the other processes.
 type leaseNote struct {
 	// Loading lists the engines that must not be sent requests.
 	Loading []string `json:"loading"`
 	// Ordering is set if orders were sent recently or are about to be sent.
 	Ordering bool `json:"ordering"`
-	// VersionAges tells how long versions have been named.
+	// VersionAges lists how long versions have been target versions.
 	VersionAges []discovery.VersionAge `json:"named"`
 	// Loaded holds the weights of engines that recently carried out orders. Engines reject
 	// requests for other weights, and the platform's list lags behind.
@@ -58,7 +58,8 @@
 	d.Lease.SetNote(data)
 }
 
-// recentlyLoaded lists the engines that have carried out orders within loadedTold.
+// recentlyLoaded returns the weights of the engines that carried out orders within
+// loadedRetention, and discards older entries.
 func (d *Director) recentlyLoaded() map[string]int64 {
 	out := map[string]int64{}
 	for id, l := range d.loaded {
@@ -71,9 +72,9 @@
 	return out
 }
 
-// followHolder takes over which engines the holder says are loading, and which have loaded. With
-// read unset the lease could not be looked at: what is known is kept then, as the engines
-// go on with their orders and reject what they are sent meanwhile.
+// followHolder applies what the holder's note lists as loading and loaded. If leaseRead is
+// false, the lease could not be read: the known marks then stay until they expire, as the
+// engines continue with their orders and reject requests in the meantime.
 func (d *Director) followHolder(leaseRead bool) {
 	for id, l := range d.inFlight {
 		// The next holder takes over the orders of this process.
@@ -109,7 +110,7 @@
 	}
 }
 
-// unmarkLoading frees an engine that is no longer taken for loading.
+// unmarkLoading stops treating an engine as loading.
 func (d *Director) unmarkLoading(id string) {
 	d.State.SetLoading(id, false)
 	delete(d.markedLoading, id)
@@ -121,7 +122,7 @@
 	}
 }
 
-// mergeVersionAges takes over what the note last read says of the age of versions.
+// mergeVersionAges applies the version ages in the note that was last read from the lease.
 func (d *Director) mergeVersionAges() {
 	n, err := decodeNote(d.Lease.LastNote())
 	if err != nil {
--- a/internal/coordination/rollout/rollout.go
+++ b/internal/coordination/rollout/rollout.go
@@ -71,8 +71,9 @@
 // intentStatus is what the endpoints of one intent are doing.
 type intentStatus struct {
 	intent *config.Intent
-	// endpoints matching endpoints that take orders; wrong ones do not serve what the
-	// intent names, and usable ones serve it or a version accepted meanwhile.
+	// endpoints are the alive engines that match the intent's labels. Of those that are
+	// not loading, outdated ones do not serve what the intent names, and usable counts
+	// those that serve it or a version accepted in the meantime.
 	endpoints []fleet.Member
 	outdated  []fleet.Member
 	loading   int
@@ -108,8 +109,8 @@
 	return e.Model == i.Model && e.WeightVersion == i.WeightVersion && e.Adapter == i.Adapter && (i.Role == "" || e.Role == i.Role)
 }
 
-// claim finds an endpoint that two intents order to different things: they
-// would take turns loading it for ever.
+// claim records the intent's endpoints in claimed, or returns a reason if another intent
+// has claimed one of them: two intents would order it to load in turns for ever.
 func (s intentStatus) claim(claimed map[string]string) string {
 	for _, m := range s.endpoints {
 		if other, ok := claimed[m.ID]; ok {
@@ -122,8 +123,9 @@
 	return ""
 }
 
-// nextMembers picks the endpoints to order now. One that is of no use to the intent
-// goes first: loading it costs no capacity.
+// nextMembers picks the endpoints to order now, and returns a reason if capacity that must
+// stay usable holds back others. Endpoints that the intent can't use come first: loading
+// them costs no capacity.
 func (s intentStatus) nextMembers(intent *config.Intent) (selected []fleet.Member, reason string) {
 	sort.SliceStable(s.outdated, func(a, b int) bool {
 		return !plan.IsUsable(intent, s.outdated[a]) && plan.IsUsable(intent, s.outdated[b])
--- a/internal/coordination/rollout/runner.go
+++ b/internal/coordination/rollout/runner.go
@@ -20,7 +20,7 @@
 // LeaseTerm is the time without renewal after which another holder takes over.
 const LeaseTerm = 10 * time.Second
 
-// candidateCount is the number of entries that look at the lease, whatever the size
+// candidateCount is the number of entry processes that check the lease, whatever the size
 // of the fleet.
 const candidateCount = 3
 
