--- a/internal/coordination/rollout/director_test.go
+++ b/internal/coordination/rollout/director_test.go
@@ -27,17 +27,17 @@
 	defaultLoadTime = time.Second
 )
 
-// fakeEngines are engines that take a second to load. They ignore fencing numbers,
-// as some deployments' do, and remember every order.
+// fakeEngines are engines that take a second to load. They ignore fencing tokens, as those
+// of some deployments do, and record every order.
 type fakeEngines struct {
 	mu      sync.Mutex
 	engines map[string]*fakeEngine
 	orders  []sentOrder
-	// loseAnswers engines carry an order out but lose its answer; delayOrders ones do so seconds
-	// after, if what the order expects still holds.
+	// With loseAnswers, engines carry an order out but its answer is lost. With delayOrders they
+	// also carry it out only seconds later, if it still expects the right number of orders.
 	loseAnswers, delayOrders bool
 	maxBusy                  int
-	// reportDelay is how long a report is underway.
+	// reportDelay is how long a report takes.
 	reportDelay time.Duration
 	// loadTime is how long an order takes.
 	loadTime time.Duration
@@ -130,7 +130,7 @@
 	return n
 }
 
-// busyCount counts the engines that carry out an order.
+// busyCount returns how many engines are carrying out an order.
 func (f *fakeEngines) busyCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,31 +143,32 @@
 	return n
 }
 
-// sentOrders lists the orders so far.
+// sentOrders returns the orders so far.
 func (f *fakeEngines) sentOrders() []sentOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]sentOrder(nil), f.orders...)
 }
 
-// withLock changes how the engines behave.
+// withLock calls change, which may alter how the engines behave, with the lock held.
 func (f *fakeEngines) withLock(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-// faultyStore is a store's client that a test may stop, as a freeze of its process does.
+// faultyStore is a client of the store that a test can block, as a freeze of the process does,
+// or make fail.
 type faultyStore struct {
 	objectapi.API
 	mu          sync.Mutex
 	wait        chan struct{}
 	unavailable bool
-	// reads counts reads.
+	// reads counts calls of Get.
 	reads int
 }
 
-// setUnavailable makes the store answer nothing, without stopping the process.
+// setUnavailable makes every call fail, without blocking the process, or ends that.
 func (f *faultyStore) setUnavailable(unavailable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -217,14 +218,14 @@
 	return f.API.Put(ctx, key, value, version)
 }
 
-// member is one process that may direct.
+// member is one process that may order engines.
 type member struct {
 	state *discovery.State
 	api   *faultyStore
 	lease *lease.Lease
 }
 
-// loadingCount counts the engines that the process takes for loadingCount.
+// loadingCount returns how many engines the process treats as loading.
 func (m *member) loadingCount() int {
 	loading := 0
 	for _, row := range m.state.Table.Members() {
@@ -235,12 +236,12 @@
 	return loading
 }
 
-// startDirectors starts n processes over the same store and engines.
+// startDirectors starts n processes that share a store and engines.
 func startDirectors(t *testing.T, engines *fakeEngines, n int) []*member {
 	return startDirectorsWithNotices(t, engines, n, nil)
 }
 
-// startDirectorsWithNotices does so with holders that tell the others over a network.
+// startDirectorsWithNotices is startDirectors with holders that send notices over a network.
 func startDirectorsWithNotices(t *testing.T, engines *fakeEngines, n int, notices *network) []*member {
 	store := standin.New()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -277,18 +278,18 @@
 	}
 }
 
-// checkOrderSpacing fails if orders of two holders are nearer than a term, or a number
-// falls: engines that check nothing would obey both.
+// checkOrderSpacing fails the test if orders of two holders are less than a term apart, or a
+// fencing token decreases: engines that check no token would carry out both.
 func checkOrderSpacing(t *testing.T, f *fakeEngines) {
 	t.Helper()
 	orders := f.sentOrders()
 	for i := 1; i < len(orders); i++ {
 		a, b := orders[i-1], orders[i]
 		if b.Fence < a.Fence {
-			t.Errorf("order %d has number %d after %d", i, b.Fence, a.Fence)
+			t.Errorf("order %d has fencing token %d after %d", i, b.Fence, a.Fence)
 		}
 		if a.Holder != b.Holder && (b.at.Sub(a.at) < term || a.Fence == b.Fence) {
-			t.Errorf("%s orders %s after %s, numbers %d and %d", b.Holder, b.at.Sub(a.at), a.Holder, b.Fence, a.Fence)
+			t.Errorf("%s sends an order %s after %s, with fencing tokens %d and %d", b.Holder, b.at.Sub(a.at), a.Holder, b.Fence, a.Fence)
 		}
 	}
 }
@@ -301,25 +302,25 @@
 		setTarget(members, 2)
 		time.Sleep(7 * time.Second)
 		if f.countAt(2) != 9 {
-			t.Errorf("%d of 9 engines have the named weights", f.countAt(2))
+			t.Errorf("%d of 9 engines have the target weights", f.countAt(2))
 		}
 		most := 0
 		f.withLock(func() { most = f.maxBusy })
 		if most > 4 {
-			t.Errorf("%d engines loaded at once", most)
+			t.Errorf("%d engines loaded at once, want 4 at most", most)
 		}
 		if orders := f.sentOrders(); len(orders) != 9 {
-			t.Errorf("%d orders", len(orders))
+			t.Errorf("got %d orders, want 9", len(orders))
 		}
 		checkOrderSpacing(t, f)
 	})
 }
 
-// TestHolderFreezes stops the holder right after its first orders.
+// TestHolderFreezes freezes the holder right after its first orders.
 //
-// Another takes over, and both orders of two processes and their numbers keep
-// apart; the engines have the weights in time all the same. The holder that wakes
-// orders nothing.
+// Another process takes over. The orders of the two must be a term apart and have different
+// fencing tokens, the engines must have the target weights in time all the same, and the
+// first holder must order nothing when it continues.
 func TestHolderFreezes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1, 1, 1, 1, 1)
@@ -338,17 +339,17 @@
 		holder.api.thaw()
 		time.Sleep(2700 * time.Millisecond)
 		if f.countAt(2) != 9 {
-			t.Errorf("%d of 9 engines have the named weights after 10 s", f.countAt(2))
+			t.Errorf("%d of 9 engines have the target weights after 10 s", f.countAt(2))
 		}
 		checkOrderSpacing(t, f)
 	})
 }
 
-// TestHolderFreezesAfterSlowReport lets a holder order at the end of the time that
-// its last renewal gives it, and freezes it then.
+// TestHolderFreezesAfterSlowReport lets a holder send an order at the end of the time that its
+// last renewal allows, and then freezes it.
 //
-// Another takes the lease over a whole term after that renewal, which is less than
-// a term after the order: it must wait for the rest before it orders.
+// Another process takes the lease over a whole term after that renewal, which is less than
+// a term after the order: it must wait for the rest before it sends orders.
 func TestHolderFreezesAfterSlowReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1)
@@ -367,16 +368,16 @@
 		before := len(f.sentOrders())
 		time.Sleep(8 * time.Second)
 		if all := len(f.sentOrders()); before != 1 || all < 3 {
-			t.Errorf("%d orders before the freeze, %d in all", before, all)
+			t.Errorf("got %d orders before the freeze and %d in all, want 1 and at least 3", before, all)
 		}
 		checkOrderSpacing(t, f)
 	})
 }
 
-// TestOldestWeightsFirst names a third version while the second is on its way.
+// TestOldestWeightsFirst sets a third target version while the second is being rolled out.
 //
-// Engines that still have the first are ordered before those with the second: their
-// time runs out first.
+// Engines that still have the first version must be ordered before those with the second:
+// their time runs out first.
 func TestOldestWeightsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1, 1, 1, 1, 1)
@@ -395,17 +396,17 @@
 				second = true
 			}
 			if second && o.before == 1 {
-				t.Errorf("%s waited with the first weights behind one with the second", o.engine)
+				t.Errorf("%s had the first weights and was ordered after an engine with the second", o.engine)
 			}
 		}
 	})
 }
 
-// TestLostAndDelayedOrders loses every answer; then carries orders out only seconds
-// later, when others have been given.
+// TestLostAndDelayedOrders loses every answer, and in its second variant also carries orders
+// out only seconds later, when others have been sent.
 //
-// The engine's own report decides what came of an order, and an order that comes
-// late finds another number than it expects: no engine goes back.
+// The engine's own report decides what became of an order, and an order that arrives late
+// finds another number of orders than it expects: no engine may return to older weights.
 func TestLostAndDelayedOrders(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		t.Run(fmt.Sprint("late ", late), func(t *testing.T) {
@@ -428,7 +429,8 @@
 	}
 }
 
-// TestNewerWeightsAreNotReplaced starts an engine that already has what is not yet named here.
+// TestNewerWeightsAreNotReplaced starts an engine that already has newer weights than the
+// target known here.
 func TestNewerWeightsAreNotReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(3, 1)
@@ -436,15 +438,15 @@
 		setTarget(members, 2)
 		time.Sleep(10 * time.Second)
 		if orders := f.sentOrders(); f.countAt(3) != 1 || f.countAt(2) != 1 || len(orders) != 1 {
-			t.Errorf("orders %+v", orders)
+			t.Errorf("got orders %+v, want one, to the engine with weights 1", orders)
 		}
 	})
 }
 
-// TestFollowersLearnWhichEnginesLoad looks at a process that does not hold the lease.
+// TestFollowersLearnWhichEnginesLoad checks a process that does not hold the lease.
 //
-// It sends nothing to an engine that loads: each request there would be refused,
-// and its second try would cost the retry budget.
+// It must send nothing to an engine that loads: the engine would refuse each request, and
+// the retry would use up the retry budget.
 func TestFollowersLearnWhichEnginesLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1)
@@ -454,26 +456,27 @@
 		time.Sleep(800 * time.Millisecond)
 		for i, m := range members {
 			if got := m.loadingCount(); got != 2 {
-				t.Errorf("process %d takes %d engines for loading", i, got)
+				t.Errorf("process %d treats %d engines as loading, want 2", i, got)
 			}
 		}
 		time.Sleep(10 * time.Second)
 		for i, m := range members {
 			for _, row := range m.state.Table.Members() {
 				if m.state.IsLoading(row.ID) {
-					t.Errorf("process %d still takes %s for loading", i, row.ID)
+					t.Errorf("process %d still treats %s as loading", i, row.ID)
 				}
 			}
 		}
 	})
 }
 
-// TestHolderWithoutStoreKeepsItsOrders cuts the holder off from the store while its engines load.
+// TestHolderWithoutStoreKeepsItsOrders cuts all processes off from the store while engines
+// load.
 //
-// It can't renew the lease and must not act any more, but what it has ordered goes on. If
-// it took these engines for free, it would send them requests that they reject, until it
-// reads the next holder's note. Engines that others have ordered stay marked in the same
-// way, and none for longer than orders take.
+// The holder can't renew the lease and must not send orders any more, but those it has sent
+// continue. If it treated these engines as free, it would send them requests that they reject,
+// until it reads the next holder's note. Engines that others have ordered stay marked in the
+// same way, and none for longer than orders take.
 func TestHolderWithoutStoreKeepsItsOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1)
@@ -488,13 +491,13 @@
 		time.Sleep(1500 * time.Millisecond)
 		for i, m := range members {
 			if got := m.loadingCount(); got != 2 {
-				t.Errorf("process %d takes %d engines for loading", i, got)
+				t.Errorf("process %d treats %d engines as loading, want 2", i, got)
 			}
 		}
 		time.Sleep(10 * time.Second)
 		for i, m := range members {
 			if got := m.loadingCount(); got != 0 {
-				t.Errorf("process %d still takes %d engines for loading", i, got)
+				t.Errorf("process %d still treats %d engines as loading", i, got)
 			}
 		}
 	})
@@ -503,8 +506,8 @@
 // TestFollowersLearnLoadedWeights lets engines load while the platform's list still shows
 // their old weights.
 //
-// Only the holder asks the engines. Without its word the other processes go on to name
-// the old weights in what they send, and the engines reject it for a second or two.
+// Only the holder asks the engines. Without its note the other processes would continue to
+// send requests for the old weights, and the engines reject these for a second or two.
 func TestFollowersLearnLoadedWeights(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1)
@@ -515,7 +518,7 @@
 		for i, m := range members {
 			for _, instance := range m.state.Instances() {
 				if instance.Weights != 2 {
-					t.Errorf("process %d takes %s to have weights %d", i, instance.ID, instance.Weights)
+					t.Errorf("process %d lists %s with weights %d, want 2", i, instance.ID, instance.Weights)
 				}
 			}
 		}
--- a/internal/coordination/rollout/entries_test.go
+++ b/internal/coordination/rollout/entries_test.go
@@ -10,11 +10,11 @@
 	"limpetwall/internal/state/routes"
 )
 
-// TestEnginesRestartUnderTheirIDs lets engines that carry out an order start again under
-// the ids that they had, with the weights of before.
+// TestEnginesRestartUnderTheirIDs restarts engines that carry out an order, under the same
+// ids and with the previous weights.
 //
-// Their orders are lost with the earlier start. They are ordered anew, with the count of
-// orders of the new one, and have the named weights in time.
+// Their orders are lost with the earlier start. They must be ordered again, with the order
+// count of the new start, and have the target weights in time.
 func TestEnginesRestartUnderTheirIDs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1, 1)
@@ -35,11 +35,11 @@
 			}
 		})
 		if len(restarted) == 0 {
-			t.Fatal("no engine was at it")
+			t.Fatal("no engine was carrying out an order")
 		}
 		time.Sleep(7 * time.Second)
 		if n := f.countAt(2); n != 6 {
-			t.Errorf("%d of 6 engines have the named weights", n)
+			t.Errorf("%d of 6 engines have the target weights", n)
 		}
 		last := map[string]sentOrder{}
 		for _, o := range f.sentOrders() {
@@ -47,10 +47,10 @@
 		}
 		for id := range restarted {
 			if last[id].Expect != 0 {
-				t.Errorf("%s is expected to have accepted %d orders since its start", id, last[id].Expect)
+				t.Errorf("the last order to %s expects %d accepted orders since its start, want 0", id, last[id].Expect)
 			}
 			if i, _ := members[0].state.Instance(id); i.Born != 200 && i.Born != 0 {
-				t.Errorf("%s is still believed to have started at %d", id, i.Born)
+				t.Errorf("%s is still listed with start time %d, want 200 or 0", id, i.Born)
 			}
 		}
 		checkOrderSpacing(t, f)
@@ -58,7 +58,7 @@
 }
 
 // TestEnginesOfUnknownServicesAreNotOrdered lists two engines of a service that the
-// configuration does not name: their entries may be anybody's.
+// configuration does not contain: anybody may have written their entries.
 func TestEnginesOfUnknownServicesAreNotOrdered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1)
@@ -74,11 +74,11 @@
 		time.Sleep(10 * time.Second)
 		for _, o := range f.sentOrders() {
 			if o.engine == "e2" || o.engine == "e3" {
-				t.Errorf("%s is ordered", o.engine)
+				t.Errorf("got an order to %s, want none", o.engine)
 			}
 		}
 		if f.countAt(2) != 2 {
-			t.Errorf("%d engines have the named weights", f.countAt(2))
+			t.Errorf("%d engines have the target weights, want 2", f.countAt(2))
 		}
 	})
 }
--- a/internal/coordination/rollout/notices_test.go
+++ b/internal/coordination/rollout/notices_test.go
@@ -11,13 +11,13 @@
 type network struct {
 	mu      sync.Mutex
 	members []*member
-	// cutOff members hear nothing.
+	// cutOff members receive no notices.
 	cutOff map[*member]bool
 }
 
 func newNetwork() *network { return &network{cutOff: map[*member]bool{}} }
 
-// announcer is one member's way to the others.
+// announcer sends one member's notices to the others.
 type announcer struct {
 	network *network
 	self    *member
@@ -46,7 +46,7 @@
 	n.cutOff[m] = cutOff
 }
 
-// storeReads sums what the members read of the store.
+// storeReads returns how many reads of the store the members made together.
 func storeReads(members []*member) int {
 	sum := 0
 	for _, m := range members {
@@ -68,9 +68,9 @@
 
 // TestFollowersRelyOnNotices lets a hundred processes follow a holder through a rollout.
 //
-// Each that read the lease itself, every 2.4 s and four times a second while engines load,
-// made 0.4 and 4 calls a second: the platform counts every call. With the holder's notices
-// the fleet reads nothing, and knows sooner which engines load.
+// A follower that reads the lease itself, every 2.4 s and four times a second while engines
+// load, makes 0.4 and 4 calls a second, and the platform counts every call. With the holder's
+// notices the followers must read nothing, and learn sooner which engines load.
 func TestFollowersRelyOnNotices(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1, 1, 1, 1, 1)
@@ -79,32 +79,32 @@
 		before := storeReads(members)
 		time.Sleep(30 * time.Second)
 		if got := storeReads(members) - before; got > 0 {
-			t.Errorf("%d reads of the store in half a calm minute", got)
+			t.Errorf("got %d reads of the store in 30 s without a rollout, want 0", got)
 		}
 		setTarget(members, 2)
 		time.Sleep(300 * time.Millisecond)
 		want := f.busyCount()
 		for i, m := range members {
 			if got := m.loadingCount(); got != want || got == 0 {
-				t.Errorf("process %d takes %d engines for loading, not %d", i, got, want)
+				t.Errorf("process %d treats %d engines as loading, want %d", i, got, want)
 			}
 		}
 		time.Sleep(7 * time.Second)
 		if f.countAt(2) != 9 {
-			t.Errorf("%d of 9 engines have the named weights", f.countAt(2))
+			t.Errorf("%d of 9 engines have the target weights", f.countAt(2))
 		}
 		if got := storeReads(members) - before; got > 0 {
-			t.Errorf("%d reads of the store with a rollout", got)
+			t.Errorf("got %d reads of the store including a rollout, want 0", got)
 		}
 		checkOrderSpacing(t, f)
 	})
 }
 
-// TestFollowerWithoutNoticesReadsTheStore cuts one process off from the notices, as a cut between two
-// hosts does.
+// TestFollowerWithoutNoticesReadsTheStore cuts one process off from the notices, as a
+// partition between two hosts does.
 //
-// It hears of the rollout from the store, a second later at most than before; and it does not
-// take the lease, which it finds renewed there.
+// It must learn of the rollout from the store, at most a second later than before; and it must
+// not acquire the lease, which it finds renewed there.
 func TestFollowerWithoutNoticesReadsTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1, 1, 1, 1, 1)
@@ -122,11 +122,11 @@
 		setTarget(members, 2)
 		time.Sleep(1500 * time.Millisecond)
 		if got, want := follower.loadingCount(), f.busyCount(); got != want || got == 0 {
-			t.Errorf("the deaf process takes %d engines for loading, not %d", got, want)
+			t.Errorf("the process without notices treats %d engines as loading, want %d", got, want)
 		}
 		time.Sleep(10 * time.Second)
 		if holderOf(members) != holder {
-			t.Error("the lease has another holder")
+			t.Error("another process has taken the lease over")
 		}
 		checkOrderSpacing(t, f)
 	})
@@ -134,9 +134,9 @@
 
 // TestFrozenHolderIsReplaced freezes the holder while engines load.
 //
-// The notices end with its renewals. The others look at the store again, in their own time
-// and not all at once, and one takes over as soon as without notices: a term after the last
-// renewal.
+// The notices end with its renewals. The others must check the store again, each at its own
+// time rather than all at once, and one must take over as soon as without notices: a term
+// after the last renewal.
 func TestFrozenHolderIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngines(1, 1, 1, 1, 1, 1, 1, 1, 1)
@@ -148,16 +148,16 @@
 		frozenHolder.api.freeze()
 		time.Sleep(term + time.Second/2)
 		if holderOf(members) == nil || holderOf(members) == frozenHolder {
-			t.Error("nobody has taken over half a second after the term")
+			t.Error("no process has taken over half a second after the term")
 		}
 		if got := storeReads(members) - before; got > 400 {
-			t.Errorf("%d reads of the store until then", got)
+			t.Errorf("got %d reads of the store until the takeover, want 400 at most", got)
 		}
 		time.Sleep(4 * time.Second)
 		frozenHolder.api.thaw()
 		time.Sleep(3 * time.Second)
 		if f.countAt(2) != 9 {
-			t.Errorf("%d of 9 engines have the named weights", f.countAt(2))
+			t.Errorf("%d of 9 engines have the target weights", f.countAt(2))
 		}
 		checkOrderSpacing(t, f)
 	})
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -11,7 +11,7 @@
 	"limpetwall/internal/state/fleet"
 )
 
-// view holds one intent, or two, at revision 5.
+// view returns a configuration with the given intents at revision 5.
 func view(specs ...string) *config.View {
 	c := config.Change{Revision: 5}
 	for i, spec := range specs {
@@ -20,7 +20,7 @@
 	return config.Empty().With(c)
 }
 
-// engines writes members as "version", "version+" (loading), "version!" (failed at
+// engines returns members described as "version", "version+" (loading), "version!" (failed at
 // revision 5), "version?" (failed earlier), "version-" (leaving).
 func engines(list string) []fleet.Member {
 	var out []fleet.Member
@@ -59,15 +59,15 @@
 		{"two at once, no more", fmt.Sprintf(rolling, 1), "v1 v1 v1 v1", "e0 e1", ""},
 		{"one is loading already", fmt.Sprintf(rolling, 1), "v1+ v1 v1 v1", "e1", ""},
 		{"two are loading already", fmt.Sprintf(rolling, 1), "v1+ v1+ v1 v1", "", ""},
-		{"enough must stay", fmt.Sprintf(rolling, 3), "v1 v1 v1 v1", "e0", "waiting: 3 usable"},
+		{"min_endpoints must stay usable", fmt.Sprintf(rolling, 3), "v1 v1 v1 v1", "e0", "waiting: 3 usable"},
 		{"none can be spared", fmt.Sprintf(rolling, 4), "v1 v1 v1 v1", "", "waiting: 4 usable"},
-		{"the last one is never taken", fmt.Sprintf(rolling, 0), "v1", "", "waiting: 1 usable"},
+		{"the last one is never ordered", fmt.Sprintf(rolling, 0), "v1", "", "waiting: 1 usable"},
 		{"what serves neither version goes first", fmt.Sprintf(rolling, 4), "v1 v1 v1 v1 v0", "e4", "waiting: 4 usable"},
 		{"all done", fmt.Sprintf(rolling, 1), "v2 v2", "", ""},
 		{"a failure stops it", fmt.Sprintf(rolling, 1), "v1! v1 v1 v1", "", "stopped: e0: no such weights"},
 		{"an earlier intent's failure does not", fmt.Sprintf(rolling, 1), "v1? v1 v1 v1", "e0 e1", ""},
 		{"a leaving endpoint is not ordered", fmt.Sprintf(rolling, 1), "v1- v1 v1", "e1", "waiting: 1 usable"},
-		{"without leave nothing is ordered", `{"service":"s","labels":{"pool":"x"},"model":"m","weight_version":"v2"}`, "v1 v1", "", ""},
+		{"without orders set nothing is ordered", `{"service":"s","labels":{"pool":"x"},"model":"m","weight_version":"v2"}`, "v1 v1", "", ""},
 		{"three at once where the intent says so", `{"service":"s","labels":{"pool":"x"},"model":"m","weight_version":"v2","also_versions":["v1"],"orders":true,"max_loading":3}`, "v1 v1 v1 v1 v1", "e0 e1 e2", ""},
 	}
 	for _, row := range rows {
@@ -78,24 +78,24 @@
 		}
 		reasons := fmt.Sprint(blocked)
 		if strings.Join(got, " ") != row.orders || (row.blocked == "") != (len(blocked) == 0) || !strings.Contains(reasons, row.blocked) {
-			t.Errorf("%s: orders %v blocked %v, want %q and %q", row.name, got, blocked, row.orders, row.blocked)
+			t.Errorf("%s: got orders %v, blocked %v, want %q and %q", row.name, got, blocked, row.orders, row.blocked)
 		}
 	}
 }
 
 // TestConflictingIntents gives two intents the same endpoints.
 //
-// The second is blocked with the reason: they would load the engines in turns for
-// ever otherwise.
+// The second must be blocked with a reason: otherwise the two would load the engines in
+// turns for ever.
 func TestConflictingIntents(t *testing.T) {
 	spec := `{"service":"s%d","labels":{"pool":"x"},"model":"m","weight_version":"v%d","also_versions":["v1"],"orders":true}`
 	orders, blocked := rollout.Decide(view(fmt.Sprintf(spec, 1, 2), fmt.Sprintf(spec, 2, 3)), engines("v1 v1 v1"))
 	for _, o := range orders {
 		if o.Intent.ID != "i0" {
-			t.Errorf("intent %s orders %s", o.Intent.ID, o.Member.ID)
+			t.Errorf("got an order of intent %s for %s, want orders of i0 only", o.Intent.ID, o.Member.ID)
 		}
 	}
 	if len(blocked) != 1 || blocked[0].Intent != "i1" || !strings.Contains(blocked[0].Reason, "already ordered by intent i0") {
-		t.Errorf("%+v", blocked)
+		t.Errorf("got blocked %+v, want i1 blocked as already ordered by i0", blocked)
 	}
 }
