--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -151,7 +151,7 @@
 
 func newRollout(s *EntrySettings, p *base) *rollout.Runner {
 	held := lease.New(lease.Config{Key: "lease.rollout", Holder: s.ID, Term: rollout.LeaseTerm, CallTimeout: rollout.PollInterval}, p.api)
-	return &rollout.Runner{Node: p.node, Store: p.store, Pool: p.pool, Lease: held, Log: p.zap}
+	return &rollout.Runner{Node: p.node, Store: p.store, Pool: p.pool, Lease: held, Zap: p.zap}
 }
 
 func newSalt() []byte {
--- a/internal/coordination/rollout/director.go
+++ b/internal/coordination/rollout/director.go
@@ -26,7 +26,7 @@
 	Busy bool
 	// Orders is the number of orders accepted since the engine's start.
 	Orders int64
-	// Born is that start, 0 if the engine does not report it.
+	// Born is the time of that start, 0 if the engine does not report it.
 	Born int64
 }
 
@@ -46,7 +46,7 @@
 	// ErrBusy is returned when another order is in progress, or the number of orders differs.
 	ErrBusy = errors.ConstError("engine is busy or has accepted other orders")
 	// ErrFenced is returned when the engine has seen a higher fencing token.
-	ErrFenced = errors.ConstError("fencing number is too low")
+	ErrFenced = errors.ConstError("fencing token is too low")
 	// ErrOrderRefused is returned when the engine does not know the order.
 	ErrOrderRefused = errors.ConstError("engine refuses the order")
 	// ErrOtherInstance is returned when another instance has the engine's address.
@@ -86,7 +86,7 @@
 	Fleet func() int
 
 	// lastOrderAt is when this process last sent an order; orderingAnnounced is set while
-	// the lease's note says that this process orders.
+	// its note in the lease says that it orders.
 	lastOrderAt       time.Time
 	orderingAnnounced bool
 	// meanLoadTime is a moving average of how long orders take.
@@ -136,8 +136,8 @@
 	noticeTTLIdle = 2*holderIdleInterval + holderIdleInterval/2
 	// engineTimeout limits one report or order.
 	engineTimeout = 500 * time.Millisecond
-	// loadTimeout is when an accepted order is considered lost, and silenceTimeout when an
-	// engine that no longer reports makes way for another.
+	// loadTimeout is the time after which an accepted order is considered lost, and
+	// silenceTimeout the time without a report after which an engine makes way for another.
 	loadTimeout    = 8 * time.Second
 	silenceTimeout = time.Second
 	// loadingFraction of a model's engines carry out orders at once, but at least two: more
@@ -290,11 +290,11 @@
 // writes to its note that it is about to order before it does so: one whose note does not
 // say so has not ordered for long.
 func (d *Director) isHandingOver() bool {
-	at, left := d.Lease.TakenOver()
+	at, previousData := d.Lease.TakenOver()
 	if at.IsZero() || d.Now().Sub(at) >= d.Handover {
 		return false
 	}
-	previousNote, err := decodeNote(left)
+	previousNote, err := decodeNote(previousData)
 	return err != nil || previousNote.Ordering
 }
 
@@ -304,7 +304,8 @@
 		report, err := d.report(ctx, l.instance)
 		now, known := d.State.Instance(id)
 		if !known || now.Born != l.instance.Born {
-			// An order ends with the start of the engine that accepted it; the engine is ordered again.
+			// An order ends when the engine that accepted it starts again; the engine is
+			// ordered again.
 			d.Log.Info("order lost with its engine", zap.String("endpoint", id), zap.Bool("known", known), zap.Int64("ordered", l.version))
 			delete(d.inFlight, id)
 			continue
@@ -370,8 +371,8 @@
 	sort.SliceStable(members, func(a, b int) bool { return versionOf(members[a]) < versionOf(members[b]) })
 	for i := range members {
 		e := &members[i].Endpoint
-		// An endpoint that gets no requests because its weights are old must be ordered all the
-		// more, so Loading is set for actual orders only.
+		// The table also shows endpoints as loading that get no requests because their weights
+		// are old; these must be ordered all the more.
 		e.Loading = d.State.IsLoading(members[i].ID)
 		if target := d.State.TargetVersion(e.Model); versionOf(members[i]) > target {
 			e.WeightVersion = discovery.VersionName(target)
@@ -401,8 +402,8 @@
 		engines[[2]string{e.Labels[discovery.ServiceLabel], e.Model}]++
 		versions[e.Model] = append(versions[e.Model], e.WeightVersion)
 	}
-	for of, count := range engines {
-		service, model := of[0], of[1]
+	for key, count := range engines {
+		service, model := key[0], key[1]
 		target := d.State.TargetVersion(model)
 		if target == 0 {
 			continue
@@ -414,7 +415,7 @@
 		}
 		spec, err := json.Marshal(intent)
 		if err != nil {
-			d.Log.Error("intent", zap.Error(err))
+			d.Log.Error("cannot encode intent", zap.Error(err))
 			continue
 		}
 		ref := config.Ref{Kind: config.KindIntent, ID: service + "." + model}
@@ -426,19 +427,19 @@
 // maxConcurrentLoads returns how many engines may carry out orders at once: few, unless the
 // time for the oldest target version that is not in use everywhere runs out.
 func (d *Director) maxConcurrentLoads(model string, engines int) int {
-	usual := max(2, int(loadingFraction*float64(engines)))
+	usualLoads := max(2, int(loadingFraction*float64(engines)))
 	behind, since := d.State.EndpointsBehind(model)
 	if behind == 0 {
-		return usual
+		return usualLoads
 	}
 	left := time.Duration(deadlineFraction*float64(d.Within)) - d.Now().Sub(since)
-	each := d.meanLoadTime
-	if each == 0 {
-		each = defaultLoadTime
+	loadTime := d.meanLoadTime
+	if loadTime == 0 {
+		loadTime = defaultLoadTime
 	}
-	rounds := max(1, int(left/each))
+	rounds := max(1, int(left/loadTime))
 	needed := (behind + rounds - 1) / rounds
-	return max(usual, min(needed, int(maxLoadingFraction*float64(engines))))
+	return max(usualLoads, min(needed, int(maxLoadingFraction*float64(engines))))
 }
 
 // sendOrder orders one engine. It first asks the engine for its report, which has the orders
@@ -462,9 +463,9 @@
 		return
 	}
 	d.lastOrderAt = d.Now()
-	call, cancel := context.WithTimeout(ctx, engineTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
-	err = d.Engines.Order(call, i, WeightsOrder{Model: i.Model, Version: version, Holder: d.Holder, Fence: fence, Expect: report.Orders})
+	err = d.Engines.Order(callCtx, i, WeightsOrder{Model: i.Model, Version: version, Holder: d.Holder, Fence: fence, Expect: report.Orders})
 	d.Log.Info("order", zap.String("endpoint", i.ID), zap.String("model", i.Model), zap.Int64("weights", version),
 		zap.Int64("before", report.Weights[i.Model]), zap.Uint64("fence", fence), zap.Int64("expect", report.Orders), zap.Error(err))
 	if err == nil {
--- a/internal/coordination/rollout/note.go
+++ b/internal/coordination/rollout/note.go
@@ -94,7 +94,7 @@
 func (d *Director) applyHolderNote() {
 	holderNote, err := decodeNote(d.Lease.HolderNote())
 	if err != nil {
-		d.Log.Error("lease note does not decode", zap.Error(err))
+		d.Log.Error("cannot decode lease note", zap.Error(err))
 	}
 	for id, version := range holderNote.Loaded {
 		d.State.ObserveWeights(id, version)
@@ -126,7 +126,7 @@
 func (d *Director) mergeVersionAges() {
 	n, err := decodeNote(d.Lease.LastNote())
 	if err != nil {
-		d.Log.Error("lease note does not decode", zap.Error(err))
+		d.Log.Error("cannot decode lease note", zap.Error(err))
 		return
 	}
 	d.State.MergeVersionAges(n.VersionAges)
--- a/internal/coordination/rollout/runner.go
+++ b/internal/coordination/rollout/runner.go
@@ -24,7 +24,7 @@
 // of the fleet.
 const candidateCount = 3
 
-// orderTimeout limits the wait for an order's acceptance; the load itself takes longer.
+// orderTimeout limits the wait for an order's acceptance; the load itself continues after it.
 const orderTimeout = 2 * time.Second
 
 // Runner sends the orders of Decide while this process holds the lease.
@@ -33,7 +33,7 @@
 	Store *config.Store
 	Pool  *rpc.Pool
 	Lease *lease.Lease
-	Log   *zap.Logger
+	Zap   *zap.Logger
 
 	mu      sync.Mutex
 	blocked []Blocked
@@ -97,7 +97,7 @@
 			known = known || old == b
 		}
 		if !known {
-			r.Log.Warn("rollout blocked", zap.String("intent", b.Intent), zap.String("reason", b.Reason))
+			r.Zap.Warn("rollout blocked", zap.String("intent", b.Intent), zap.String("reason", b.Reason))
 		}
 	}
 	r.blocked = blocked
@@ -119,7 +119,7 @@
 		Fence: fence, WantIncarnation: o.Member.Incarnation, Revision: o.Revision, Model: o.Intent.Model,
 		WeightVersion: o.Intent.WeightVersion, Adapter: o.Intent.Adapter, Role: o.Intent.Role,
 	})
-	r.Log.Info("order", zap.String("endpoint", o.Member.Endpoint.ID), zap.String("intent", o.Intent.ID),
+	r.Zap.Info("order", zap.String("endpoint", o.Member.Endpoint.ID), zap.String("intent", o.Intent.ID),
 		zap.String("weight_version", o.Intent.WeightVersion), zap.Uint64("fence", fence),
 		zap.Bool("accepted", resp.GetAccepted()), zap.String("reason", resp.GetReason()), zap.Error(err))
 	if resp.GetFence() > fence {
