--- a/internal/coordination/rollout/director.go
+++ b/internal/coordination/rollout/director.go
@@ -415,7 +415,7 @@
 		}
 		spec, err := json.Marshal(intent)
 		if err != nil {
-			d.Log.Error("cannot encode intent", zap.Error(err))
+			d.Log.Error("intent", zap.Error(err))
 			continue
 		}
 		ref := config.Ref{Kind: config.KindIntent, ID: service + "." + model}
--- a/internal/coordination/rollout/notices_test.go
+++ b/internal/coordination/rollout/notices_test.go
@@ -17,7 +17,7 @@
 
 func newNetwork() *network { return &network{cutOff: map[*process]bool{}} }
 
-// announcer sends one member's notices to the others.
+// announcer sends one process's notices to the others.
 type announcer struct {
 	network *network
 	self    *process
