--- a/internal/transport/datagram/datagram.go
+++ b/internal/transport/datagram/datagram.go
@@ -1,6 +1,6 @@
-// Package datagram carries small messages between processes that listen on the same port,
-// each on its own host. A message may be lost, come twice or late: what must hold can't rest
-// on one.
+// Package datagram sends small messages over UDP between processes that listen on the same port,
+// each on its own host. A message may be lost, duplicated or delayed, so nothing that must hold
+// may depend on the delivery of one.
 package datagram
 
 import (
@@ -11,16 +11,16 @@
 	"github.com/juju/errors"
 )
 
-// MaxSize bounds a message, in bytes: it should travel in one packet.
+// MaxSize is the maximum size of a message, in bytes. A message should fit in one packet.
 const MaxSize = 1400
 
-// Socket is a process's end of what such processes tell each other.
+// Socket sends messages to the same port on other hosts and receives theirs.
 type Socket struct {
 	Conn net.PacketConn
 	Port uint16
 }
 
-// Listen opens a group at a process's own address.
+// Listen opens a UDP socket at the process's own address.
 func Listen(address netip.AddrPort) (*Socket, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
@@ -29,7 +29,7 @@
 	return &Socket{Conn: conn, Port: conn.LocalAddr().(*net.UDPAddr).AddrPort().Port()}, nil
 }
 
-// Send sends a message to hosts, and counts those to which it could not be sent.
+// Send sends a message to each of hosts and returns the number of hosts for which sending failed.
 func (s *Socket) Send(data []byte, hosts []netip.Addr) (failed int) {
 	for _, host := range hosts {
 		to := net.UDPAddrFromAddrPort(netip.AddrPortFrom(host, s.Port))
@@ -40,15 +40,16 @@
 	return failed
 }
 
-// Receive hands on what arrives until ctx ends, and closes the connection. The bytes are
-// valid during the call of take.
+// Receive passes each incoming message to handle until ctx ends, then closes the connection.
+// The data is valid only until handle returns.
 func (s *Socket) Receive(ctx context.Context, handle func(data []byte, from net.Addr)) {
 	stop := context.AfterFunc(ctx, func() { s.Conn.Close() })
 	defer stop()
 	ReadLoop(s.Conn, handle)
 }
 
-// ReadLoop hands on what arrives until the connection is closed.
+// ReadLoop passes each incoming message to handle until the connection is closed. The data is
+// valid only until handle returns.
 func ReadLoop(conn net.PacketConn, handle func(data []byte, from net.Addr)) {
 	buffer := make([]byte, MaxSize)
 	for {
@@ -57,7 +58,7 @@
 			return
 		}
 		if err != nil {
-			// Such as another host saying that nobody listens there.
+			// For example, another host reported that no process listens on its port.
 			continue
 		}
 		handle(buffer[:n], from)
--- a/internal/transport/datagram/datagramtest/network.go
+++ b/internal/transport/datagram/datagramtest/network.go
@@ -1,4 +1,4 @@
-// Package datagramtest is a network of datagrams in memory, for tests that run many processes in one.
+// Package datagramtest provides an in-memory datagram network, for tests that run many processes in one.
 package datagramtest
 
 import (
@@ -9,10 +9,10 @@
 	"sync"
 )
 
-// inboxSize bounds the datagrams that wait to be read, as a socket's buffer does.
+// inboxSize is the maximum number of unread datagrams of a connection, like the receive buffer of a socket.
 const inboxSize = 64
 
-// Network carries datagrams between its connections.
+// Network delivers datagrams between its connections.
 type Network struct {
 	mu            sync.Mutex
 	random        *rand.Rand
@@ -23,12 +23,13 @@
 	sentBytes     int
 }
 
-// New returns a network that loses nothing.
+// New returns a network without packet loss.
 func New() *Network {
 	return &Network{random: rand.New(rand.NewPCG(1, 1)), conns: map[netip.AddrPort]*conn{}, isolated: map[netip.AddrPort]bool{}}
 }
 
-// conn is one address of the network; of net.PacketConn it has what the processes use.
+// conn is the connection at one address of the network. It implements only those methods of
+// net.PacketConn that the processes use.
 type conn struct {
 	net.PacketConn
 	network *Network
@@ -42,7 +43,7 @@
 	data []byte
 }
 
-// Listen returns the connection at an address.
+// Listen opens a connection at an address. It replaces a connection that was open there.
 func (n *Network) Listen(address netip.AddrPort) net.PacketConn {
 	c := &conn{network: n, address: address, inbox: make(chan packet, inboxSize), closed: make(chan struct{})}
 	n.mu.Lock()
@@ -51,21 +52,21 @@
 	return c
 }
 
-// SetIsolated has all be lost that an address sends and is sent, or ends that.
+// SetIsolated starts or stops dropping every datagram to and from an address.
 func (n *Network) SetIsolated(address netip.AddrPort, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isolated[address] = isolated
 }
 
-// SetLoss has a share of all datagrams be lost.
+// SetLoss sets the fraction of all datagrams that are dropped.
 func (n *Network) SetLoss(fraction float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss = fraction
 }
 
-// SentSinceLastCall counts the datagrams sent since the last call, and their bytes.
+// SentSinceLastCall returns the number of datagrams sent since the last call, and their total size in bytes.
 func (n *Network) SentSinceLastCall() (datagrams, size int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
