--- a/internal/transport/boundedqueue/queue.go
+++ b/internal/transport/boundedqueue/queue.go
@@ -1,6 +1,6 @@
-// Package ring joins two goroutines, each with its own duty, by a bounded
-// queue. A full ring refuses instead of growing: the duty behind it has fallen
-// behind, and the producer must know.
+// Package boundedqueue provides a queue of limited size between goroutines. A
+// full queue rejects items instead of growing, so that the producer learns that
+// the consumer has fallen behind.
 package boundedqueue
 
 import (
@@ -9,18 +9,18 @@
 )
 
 // Queue is a bounded first-in first-out queue, safe for many producers and
-// consumers. A buffered channel carries it.
+// consumers. It is implemented by a buffered channel.
 type Queue[T any] struct {
 	items    chan T
 	rejected atomic.Int64
 }
 
-// New returns a ring that holds up to size items.
+// New returns a queue that holds up to size items.
 func New[T any](size int) *Queue[T] {
 	return &Queue[T]{items: make(chan T, size)}
 }
 
-// TryPush adds an item, or reports false when the ring is full.
+// TryPush adds an item unless the queue is full, and reports whether it was added.
 func (q *Queue[T]) TryPush(item T) bool {
 	select {
 	case q.items <- item:
@@ -31,7 +31,7 @@
 	}
 }
 
-// Push adds an item, waiting for room until ctx ends.
+// Push adds an item. While the queue is full it waits, until ctx ends.
 func (q *Queue[T]) Push(ctx context.Context, item T) error {
 	select {
 	case q.items <- item:
@@ -41,7 +41,7 @@
 	}
 }
 
-// Pop takes the oldest item, waiting for one until ctx ends.
+// Pop removes and returns the oldest item. While the queue is empty it waits, until ctx ends.
 func (q *Queue[T]) Pop(ctx context.Context) (T, error) {
 	select {
 	case item := <-q.items:
@@ -52,7 +52,7 @@
 	}
 }
 
-// TryPop takes the oldest item if there is one.
+// TryPop removes and returns the oldest item, if there is one.
 func (q *Queue[T]) TryPop() (T, bool) {
 	select {
 	case item := <-q.items:
@@ -63,5 +63,5 @@
 	}
 }
 
-// Rejected counts the items that a full ring refused.
+// Rejected returns the number of items that TryPush rejected because the queue was full.
 func (q *Queue[T]) Rejected() int64 { return q.rejected.Load() }
--- a/internal/transport/sleep/sleep.go
+++ b/internal/transport/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time or the end of a context, and draws times to wait.
+// Package sleep provides a sleep that the end of a context interrupts, and random durations to sleep.
 package sleep
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// For waits; false means that ctx has ended.
+// For sleeps for d or until ctx ends, and reports whether it slept for all of d.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -19,8 +19,8 @@
 	}
 }
 
-// Jitter draws a time between half of d and one and a half: processes that started together would else go on
-// calling together. d is more than 0.
+// Jitter returns a random duration between 0.5 and 1.5 times d, which must be positive. Without it, processes
+// that started at the same time would keep making their calls at the same time.
 func Jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
