--- a/internal/transport/exposition/exposition.go
+++ b/internal/transport/exposition/exposition.go
@@ -1,5 +1,5 @@
-// Package exposition serves a go-metrics registry in Prometheus' text format,
-// which the Prometheus library writes.
+// Package exposition serves a go-metrics registry in the Prometheus text format,
+// using the Prometheus client library.
 package exposition
 
 import (
@@ -13,15 +13,15 @@
 
 const prefix = "limpetwall_"
 
-// Handler serves the registry's metrics as they are at each request.
+// Handler serves the metrics of the registry with their values at the time of the request.
 func Handler(registry metrics.Registry) http.Handler {
 	out := prometheus.NewRegistry()
 	out.MustRegister(collector{registry})
 	return promhttp.HandlerFor(out, promhttp.HandlerOpts{})
 }
 
-// collector turns go-metrics into Prometheus metrics. It describes none ahead,
-// since they appear as the process does things.
+// collector converts go-metrics into Prometheus metrics. It describes no metric in
+// advance, because a metric is registered only when the process first uses it.
 type collector struct {
 	registry metrics.Registry
 }
@@ -52,7 +52,7 @@
 	return prometheus.MustNewConstMetric(newDesc(name), kind, v)
 }
 
-// secondsPerNanosecond is go-metrics' unit of time, in seconds.
+// secondsPerNanosecond converts the values of go-metrics timers, which are in nanoseconds.
 const secondsPerNanosecond = 1e-9
 
 func newSummary(name string, t metrics.Timer) prometheus.Metric {
--- a/internal/transport/exposition/exposition_test.go
+++ b/internal/transport/exposition/exposition_test.go
@@ -23,7 +23,7 @@
 		`limpetwall_entry_request_seconds{quantile="0.95"} 2`, "limpetwall_entry_request_seconds_count 1",
 	} {
 		if !strings.Contains(w.Body.String(), line+"\n") {
-			t.Errorf("no %q in:\n%s", line, w.Body.String())
+			t.Errorf("want line %q, got:\n%s", line, w.Body.String())
 		}
 	}
 }
--- a/internal/transport/logging/asyncwriter.go
+++ b/internal/transport/logging/asyncwriter.go
@@ -9,9 +9,9 @@
 	"limpetwall/internal/transport/boundedqueue"
 )
 
-// AsyncWriter hands log lines to one duty that writes them. A reader that doesn't read
-// must not stop the requests whose decisions are logged: when the ring is full,
-// lines are dropped and counted.
+// AsyncWriter queues log lines for a background goroutine that writes them to the
+// output. An output that blocks because nothing reads it must not stop the requests
+// whose decisions are logged: when the queue is full, lines are dropped and counted.
 type AsyncWriter struct {
 	lines  *boundedqueue.Queue[[]byte]
 	out    io.Writer
@@ -19,7 +19,7 @@
 	cancel context.CancelFunc
 }
 
-// NewAsyncWriter starts a writer that holds up to size lines.
+// NewAsyncWriter starts a writer that queues up to size lines.
 func NewAsyncWriter(out io.Writer, size int) *AsyncWriter {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &AsyncWriter{lines: boundedqueue.New[[]byte](size), out: out, cancel: cancel}
@@ -27,7 +27,8 @@
 	return w
 }
 
-// batchSize bounds one write to the output; one call for many lines saves processor time.
+// batchSize is the size in bytes from which on no more lines are added to a write.
+// Writing many lines in one call saves CPU time.
 const batchSize = 32 << 10
 
 func (w *AsyncWriter) write(ctx context.Context) {
@@ -45,7 +46,7 @@
 			}
 			buffer = append(buffer, next...)
 		}
-		// There is nobody to tell that the log can't be written.
+		// The error is dropped: there is no other place to report that the log can't be written.
 		w.out.Write(buffer)
 	}
 	for {
@@ -57,7 +58,7 @@
 	}
 }
 
-// Write implements io.Writer; it never waits.
+// Write implements io.Writer. It never blocks.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	w.lines.TryPush(append([]byte(nil), line...))
 	return len(line), nil
@@ -66,10 +67,10 @@
 // Sync implements zapcore.WriteSyncer.
 func (w *AsyncWriter) Sync() error { return nil }
 
-// Dropped counts the lines that found no room.
+// Dropped returns the number of lines dropped because the queue was full.
 func (w *AsyncWriter) Dropped() int64 { return w.lines.Rejected() }
 
-// Close writes what is held, for at most limit.
+// Close stops the writer and waits until the queued lines are written, for at most limit.
 func (w *AsyncWriter) Close(limit time.Duration) {
 	w.cancel()
 	finished := make(chan struct{})
--- a/internal/transport/logging/asyncwriter_test.go
+++ b/internal/transport/logging/asyncwriter_test.go
@@ -11,49 +11,48 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// blockedWriter is an output that nobody reads: its first write tells that it has begun,
-// and ends with the test.
+// blockedWriter is an output that nothing reads. Its first write closes started;
+// each write blocks until release is closed.
 type blockedWriter struct {
 	once             sync.Once
 	started, release chan struct{}
 }
 
-func (s *blockedWriter) Write(p []byte) (int, error) {
-	s.once.Do(func() { close(s.started) })
-	<-s.release
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	w.once.Do(func() { close(w.started) })
+	<-w.release
 	return len(p), nil
 }
 
-// TestBlockedOutputDoesNotBlockLogging logs to an output that nobody reads.
-//
-// The requests whose decisions are logged go on; the lines that find no room are
-// counted, each of them.
+// TestBlockedOutputDoesNotBlockLogging logs to an output that nothing reads.
+// Logging must not block the requests whose decisions are logged, and each line
+// that the full queue rejects must be counted.
 func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	out := &blockedWriter{started: make(chan struct{}), release: make(chan struct{})}
 	defer close(out.release)
-	b := NewAsyncWriter(out, 10)
-	log := New(b, zapcore.InfoLevel)
+	w := NewAsyncWriter(out, 10)
+	log := New(w, zapcore.InfoLevel)
 	log.Info("first")
 	<-out.started
 	for range 100 {
 		log.Info("decision")
 	}
-	if dropped := b.Dropped(); dropped != 90 {
-		t.Errorf("%d lines dropped", dropped)
+	if dropped := w.Dropped(); dropped != 90 {
+		t.Errorf("got %d dropped lines, want 90", dropped)
 	}
-	b.Close(time.Millisecond)
+	w.Close(time.Millisecond)
 }
 
 func TestLinesWrittenWholeAndInOrder(t *testing.T) {
 	var out bytes.Buffer
-	b := NewAsyncWriter(&out, 1000)
-	log := New(b, zapcore.InfoLevel)
+	w := NewAsyncWriter(&out, 1000)
+	log := New(w, zapcore.InfoLevel)
 	for i := range 500 {
 		log.Info("decision", zap.Int("number", i))
 	}
-	b.Close(10 * time.Second)
+	w.Close(10 * time.Second)
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	if len(lines) != 500 || !strings.Contains(lines[499], `"number":499`) || b.Dropped() != 0 {
-		t.Errorf("%d lines, %d dropped", len(lines), b.Dropped())
+	if len(lines) != 500 || !strings.Contains(lines[499], `"number":499`) || w.Dropped() != 0 {
+		t.Errorf("got %d lines, %d dropped; want 500 ending with number 499, 0 dropped", len(lines), w.Dropped())
 	}
 }
--- a/internal/transport/logging/logging.go
+++ b/internal/transport/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging sets up JSON-line logs.
+// Package logging sets up logging in JSON lines.
 package logging
 
 import (
