--- a/internal/transport/fault/fault.go
+++ b/internal/transport/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault injects faults into stand-ins of outside systems. Product code
-// never imports it: a fault is set through a stand-in's own admin port.
+// Package fault injects faults into the stand-ins for external systems. Product code
+// never imports it: faults are set through the admin port of a stand-in.
 package fault
 
 import (
@@ -11,19 +11,20 @@
 	"limpetwall/internal/transport/httpjson"
 )
 
-// Faults describes how a stand-in misbehaves. The zero value is healthy.
+// Faults holds the faults of a stand-in. The zero value injects none.
 type Faults struct {
-	// Down answers every call with 503 before it takes effect.
+	// Down rejects every call with status 503 before it takes effect.
 	Down bool `json:"down"`
-	// Frozen holds every call, before it takes effect, until the fault ends.
+	// Frozen blocks every call, before it takes effect, until the fault ends.
 	Frozen bool `json:"frozen"`
 	// LatencyMS delays every call, in milliseconds.
 	LatencyMS int `json:"latency_ms"`
-	// LostAnswers drops the connection after this many further writes took effect.
+	// LostAnswers is the number of next writes (calls other than GET) that take effect
+	// but whose connection is dropped without a response.
 	LostAnswers int `json:"lost_answers"`
 }
 
-// Injector applies faults to a stand-in's handler.
+// Injector applies faults to the HTTP handler of a stand-in.
 type Injector struct {
 	mu      sync.Mutex
 	faults  Faults
@@ -31,12 +32,12 @@
 	calls   map[string]int64
 }
 
-// NewInjector returns a healthy injector.
+// NewInjector returns an injector without faults.
 func NewInjector() *Injector {
 	return &Injector{changed: make(chan struct{}), calls: map[string]int64{}}
 }
 
-// Set replaces the faults in force.
+// Set replaces the active faults.
 func (in *Injector) Set(f Faults) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -45,7 +46,7 @@
 	in.changed = make(chan struct{})
 }
 
-// Calls counts the calls received, by method.
+// Calls returns the number of calls received, by HTTP method.
 func (in *Injector) Calls() map[string]int64 {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -78,7 +79,7 @@
 	in.calls[method]++
 }
 
-// Wrap puts the faults in front of a handler.
+// Wrap returns a handler that applies the active faults before it calls next.
 func (in *Injector) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		in.count(r.Method)
@@ -110,7 +111,8 @@
 	})
 }
 
-// Admin serves PUT /faults (set) and GET /calls (counts).
+// Admin returns a handler for PUT /faults, which sets the active faults, and GET /calls,
+// which returns the number of calls by HTTP method.
 func (in *Injector) Admin() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/transport/httpjson/httpjson.go
+++ b/internal/transport/httpjson/httpjson.go
@@ -1,5 +1,5 @@
-// Package httpjson carries the small JSON-over-HTTP calls that the adapters of
-// outside systems share.
+// Package httpjson provides the JSON-over-HTTP calls that the adapters of external
+// systems share.
 package httpjson
 
 import (
@@ -13,13 +13,14 @@
 	"github.com/juju/errors"
 )
 
-// maxResponseSize bounds an answer: the platform's values are at most 1 MB, lists hold many.
+// maxResponseSize limits a response body, in bytes. A value of the platform is at
+// most 1 MB, but a list contains many.
 const maxResponseSize = 64 << 20
 
-// ErrNotSent tells that no connection was made, so the call had no effect.
+// ErrNotSent is returned when no connection was made, so that the call had no effect.
 const ErrNotSent = errors.ConstError("request was not sent")
 
-// StatusError is an answer outside 2xx.
+// StatusError is a response with a status other than 2xx.
 type StatusError struct {
 	Status int
 	Body   string
@@ -36,9 +37,9 @@
 	HTTP *http.Client
 }
 
-// Do sends in as JSON and decodes the answer into out; either may be nil.
-// Errors: ErrNotSent when the connection failed, *StatusError, or a transport
-// error after which the call may have taken effect.
+// Do sends in as JSON and decodes the response into out; either may be nil. It returns
+// ErrNotSent when the connection could not be made, a *StatusError, or another error,
+// after which the call may have taken effect.
 func (c *Client) Do(ctx context.Context, method, path string, in, out any) error {
 	resp, err := c.DoStream(ctx, method, path, in)
 	if err != nil {
@@ -55,7 +56,8 @@
 	return errors.Annotatef(json.Unmarshal(data, out), "answer of %s %s", method, path)
 }
 
-// DoStream is Do for answers that are read as a stream; the caller closes the body.
+// DoStream is like Do, but returns the response, for a body that is read as a stream.
+// The caller closes the body.
 func (c *Client) DoStream(ctx context.Context, method, path string, in any) (*http.Response, error) {
 	var body io.Reader
 	if in != nil {
@@ -92,14 +94,14 @@
 	return errors.Trace(err)
 }
 
-// Write answers a request with a JSON value.
+// Write writes a response with the given status and value as its JSON body.
 func Write(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(value)
 }
 
-// Read decodes a request's JSON body of at most limit bytes.
+// Read decodes the JSON body of a request, reading at most limit bytes.
 func Read(r *http.Request, limit int64, value any) error {
 	return json.NewDecoder(io.LimitReader(r.Body, limit)).Decode(value)
 }
--- a/internal/transport/tlsfiles/tlsfiles.go
+++ b/internal/transport/tlsfiles/tlsfiles.go
@@ -12,21 +12,21 @@
 	"github.com/juju/errors"
 )
 
-// ErrNoCertificate tells that a CA file holds no usable certificate.
+// ErrNoCertificate is returned when a CA file contains no usable certificate.
 const ErrNoCertificate = errors.ConstError("no certificate in file")
 
-// recheckInterval bounds how often the files' times are looked at.
+// recheckInterval is the minimum time between two checks of the files' modification times.
 const recheckInterval = 5 * time.Second
 
-// Files names the PEM files of one identity.
+// Files holds the paths of the PEM files of one TLS identity.
 type Files struct {
 	Cert string
 	Key  string
-	// CA verifies the other side; empty for a server that takes any client.
+	// CA verifies the peer's certificate. It is empty for a server that accepts any client.
 	CA string
 }
 
-// Reloader serves the newest certificates of some files.
+// Reloader provides the current certificates of the files, and loads files that changed.
 type Reloader struct {
 	files     Files
 	mu        sync.Mutex
@@ -36,7 +36,7 @@
 	pool      *x509.CertPool
 }
 
-// NewReloader loads the files once, so that a wrong path is found at start.
+// NewReloader loads the files once, so that a wrong path is detected at start.
 func NewReloader(files Files) (*Reloader, error) {
 	r := &Reloader{files: files}
 	if err := r.load(); err != nil {
@@ -76,8 +76,8 @@
 	return modTimes
 }
 
-// current returns the newest loadable certificates. Files that are half
-// replaced do not load; the last good ones stay in use until they do.
+// current returns the last certificates that loaded. Partly replaced files do not
+// load; the previous certificates stay in use until they do.
 func (r *Reloader) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,8 +90,8 @@
 	return r.cert, r.pool
 }
 
-// ServerConfig returns a configuration that asks clients for a certificate of the CA,
-// or for none when no CA is set.
+// ServerConfig returns a configuration that requires clients to present a certificate
+// signed by the CA, or none when no CA is set.
 func (r *Reloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -106,9 +106,9 @@
 	}
 }
 
-// ClientConfig returns a configuration that shows the certificate and accepts servers
-// signed by the CA, whatever their name: processes know each other by IP number
-// and the CA signs the system's processes only.
+// ClientConfig returns a configuration that presents the certificate and accepts any
+// server whose certificate is signed by the CA. The server's name is not checked:
+// processes address each other by IP, and the CA signs only processes of this system.
 func (r *Reloader) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS12,
