--- a/internal/transport/hostlist/hostlist.go
+++ b/internal/transport/hostlist/hostlist.go
@@ -1,5 +1,5 @@
-// Package hostlist is the port to the platform's host list: which hosts live
-// and which are leaving, known with a lag.
+// Package hostlist defines access to the platform's host list, which states for each
+// host whether it is live or leaving. Changes appear in the list with a delay.
 package hostlist
 
 import (
@@ -11,13 +11,13 @@
 	"limpetwall/internal/transport/httpjson"
 )
 
-// ErrUnavailable tells that the host list could not be read.
+// ErrUnavailable is returned when the host list could not be read.
 const ErrUnavailable = errors.ConstError("host list unavailable")
 
 // State of a host.
 type State string
 
-// States a host can have.
+// States of a host.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
@@ -34,16 +34,16 @@
 
 // List is the platform's host list.
 type List interface {
-	// Hosts returns all rows, by id; ErrUnavailable if it can't be read.
+	// Hosts returns all rows, sorted by ID, or ErrUnavailable if the list can't be read.
 	Hosts(ctx context.Context) ([]Host, error)
 }
 
-// Client is the HTTP adapter.
+// Client reads the host list over HTTP.
 type Client struct {
 	calls httpjson.Client
 }
 
-// NewClient returns an adapter for the host list at base ("http://ip:port").
+// NewClient returns a client of the host list at the URL base ("http://ip:port").
 func NewClient(base string, client *http.Client) *Client {
 	return &Client{calls: httpjson.Client{Base: base, HTTP: client}}
 }
--- a/internal/transport/hostlist/hostlisttest/contract.go
+++ b/internal/transport/hostlist/hostlisttest/contract.go
@@ -1,5 +1,5 @@
-// Package hostlisttest is the contract that every implementation of the host
-// list port must pass.
+// Package hostlisttest contains the tests that every implementation of
+// hostlist.List must pass.
 package hostlisttest
 
 import (
@@ -8,7 +8,7 @@
 	"limpetwall/internal/transport/hostlist"
 )
 
-// Run runs the contract. open returns a list that the platform fills with rows.
+// Run runs the tests. open returns a list that contains rows.
 func Run(t *testing.T, open func(t *testing.T, rows []hostlist.Host) hostlist.List) {
 	rows := []hostlist.Host{
 		{ID: "h2", Domain: "b", State: hostlist.Leaving, Address: "127.0.0.2:1"},
@@ -16,10 +16,10 @@
 	}
 	got, err := open(t, rows).Hosts(t.Context())
 	if err != nil || len(got) != 2 || got[0] != rows[1] || got[1] != rows[0] {
-		t.Errorf("%+v %v", got, err)
+		t.Errorf("got hosts %+v, error %v; want h1 and h2 in this order", got, err)
 	}
 	empty, err := open(t, nil).Hosts(t.Context())
 	if err != nil || len(empty) != 0 {
-		t.Errorf("empty list: %+v %v", empty, err)
+		t.Errorf("empty list: got hosts %+v, error %v; want none", empty, err)
 	}
 }
--- a/internal/transport/hostlist/standin/standin.go
+++ b/internal/transport/hostlist/standin/standin.go
@@ -1,4 +1,4 @@
-// Package standin is an in-memory host list with a settable lag.
+// Package standin provides an in-memory host list whose changes appear after a given delay.
 package standin
 
 import (
@@ -12,14 +12,14 @@
 	"limpetwall/internal/transport/httpjson"
 )
 
-// List is the stand-in's state. A change shows only after the lag.
+// List is an in-memory host list. A change becomes visible only after lag.
 type List struct {
 	mu    sync.Mutex
 	lag   time.Duration
 	hosts map[string]hostlist.Host
 }
 
-// New returns an empty list whose changes show after lag.
+// New returns an empty list whose changes become visible after lag.
 func New(lag time.Duration) *List {
 	return &List{lag: lag, hosts: map[string]hostlist.Host{}}
 }
@@ -29,7 +29,7 @@
 	l.applyAfterLag(func() { l.hosts[h.ID] = h })
 }
 
-// Remove drops a host.
+// Remove removes a host.
 func (l *List) Remove(id string) {
 	l.applyAfterLag(func() { delete(l.hosts, id) })
 }
@@ -59,7 +59,8 @@
 	return hosts, nil
 }
 
-// Handler serves the list; PUT and DELETE stand for the platform's own tools.
+// Handler serves the list over HTTP. PUT and DELETE replace the platform's own tools for
+// changing its list.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/hosts", func(w http.ResponseWriter, r *http.Request) {
