--- a/internal/coordination/gossip/cluster_test.go
+++ b/internal/coordination/gossip/cluster_test.go
@@ -23,16 +23,16 @@
 	"limpetwall/internal/transport/objectapi/standin"
 )
 
-// latency of one message between two processes.
+// latency is the delay of one call between two processes.
 const latency = time.Millisecond
 
-// platform counts calls and can be down; it stands before the stand-ins.
+// platform wraps the stand-in of the object API: it counts calls and can be set down.
 type platform struct {
 	*standin.Store
 	mu    sync.Mutex
 	down  bool
 	calls int
-	// callsPerSecond counts calls by second, to find the peak.
+	// callsPerSecond counts calls by Unix second, to find the peak.
 	callsPerSecond map[int64]int
 }
 
@@ -57,6 +57,7 @@
 	return nil
 }
 
+// popPeak returns the highest number of calls in any second since the last popPeak.
 func (p *platform) popPeak() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,7 +90,7 @@
 	return p.Store.Watch(ctx, key, version, wait)
 }
 
-// hostList is the host list, down when the platform is.
+// hostList is the stand-in of the host list; it is down while the platform is.
 type hostList struct {
 	*hoststandin.List
 	platform *platform
@@ -113,7 +114,7 @@
 
 	mu    sync.Mutex
 	nodes map[string]*member
-	// isCut tells which messages are lost.
+	// isCut reports whether messages between two members are lost.
 	isCut func(from, to *member) bool
 }
 
@@ -136,14 +137,14 @@
 
 var errLost = errors.New("message lost")
 
-// network is one member's way to the others.
+// network implements gossip.Peers for one member.
 type network struct {
 	c    *cluster
 	from *member
 }
 
-// reach finds the member at an address; a lost message is noticed only when the
-// caller's patience ends.
+// reach returns the member at an address. If the message is lost, it blocks until ctx
+// ends, as the caller of an unreachable process does.
 func (n network) reach(ctx context.Context, address string) (*member, error) {
 	n.c.mu.Lock()
 	to := n.c.nodes[address]
@@ -189,12 +190,12 @@
 	return to.node.HandleProbe(ctx, r)
 }
 
-// start runs a process; the platform lists its host.
+// start starts a process and adds its host to the host list.
 func (c *cluster) start(id, domain, region string) *member {
 	return c.startWithConfig(gossip.DefaultConfig(), id, domain, region)
 }
 
-// startWithSeed runs a process that knows one other by its settings.
+// startWithSeed starts a process that has one other process as its seed.
 func (c *cluster) startWithSeed(id, domain, seed string) *member {
 	cfg := gossip.DefaultConfig()
 	cfg.Seeds = []string{seed}
@@ -226,7 +227,7 @@
 	return m
 }
 
-// startMany starts n processes over the domains given, a few ms apart.
+// startMany starts n processes, spread evenly over the failure domains, 5 ms apart.
 func (c *cluster) startMany(n int, domains ...string) {
 	for i := range n {
 		domain := domains[i%len(domains)]
@@ -235,7 +236,7 @@
 	}
 }
 
-// kill makes a process vanish: it answers nothing more.
+// kill stops a process without notice: it no longer answers.
 func (c *cluster) kill(id string) {
 	c.mu.Lock()
 	m := c.nodes[id]
@@ -276,7 +277,8 @@
 	c.nodes[id].paused = paused
 }
 
-// confirmChange confirms a change of the configuration through any live member.
+// confirmChange confirms a configuration change through any live member and returns
+// its revision.
 func (c *cluster) confirmChange(number int) uint64 {
 	m := c.members()[0]
 	confirmer := &plan.Confirmer{Log: configlog.New(c.platform), Store: m.store, Salt: func() []byte { return []byte("salt") }, Now: time.Now, MaxTries: 16}
@@ -287,27 +289,27 @@
 	p := plan.New(m.store.View(), request, nil, "op", fmt.Sprint(number), time.Now())
 	result := confirmer.Confirm(context.Background(), p)
 	if result.Outcome != plan.Applied {
-		c.t.Fatalf("confirm: %+v", result)
+		c.t.Fatalf("Confirm: got %+v, want outcome applied", result)
 	}
 	m.node.Announce()
 	return result.Revision
 }
 
-// waitFor advances the clock in small steps waitFor check holds, and returns the
-// time it took; it fails the test after limit.
+// waitFor advances the clock in steps of 10 ms until check holds, and returns the time
+// that took. It fails the test after limit.
 func (c *cluster) waitFor(what string, limit time.Duration, check func() bool) time.Duration {
 	c.t.Helper()
 	began := time.Now()
 	for !check() {
 		if time.Since(began) > limit {
-			c.t.Fatalf("not within %s: %s", limit, what)
+			c.t.Fatalf("condition not reached within %s: %s", limit, what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// holdsForAll tells whether check holds at all live members.
+// holdsForAll reports whether check holds for all live members.
 func (c *cluster) holdsForAll(check func(m *member) bool) bool {
 	for _, m := range c.members() {
 		if !check(m) {
--- a/internal/coordination/gossip/node.go
+++ b/internal/coordination/gossip/node.go
@@ -21,10 +21,11 @@
 	"limpetwall/internal/transport/sleep"
 )
 
-// ErrNoConfigSource tells that neither the platform nor a peer gave the configuration.
+// ErrNoConfigSource is returned by Join when neither the platform nor a peer
+// provided the configuration.
 const ErrNoConfigSource = errors.ConstError("no source of configuration answered")
 
-// Peers reaches other processes by address.
+// Peers calls other processes by address.
 type Peers interface {
 	Exchange(ctx context.Context, address string, r *wire.ExchangeRequest) (*wire.ExchangeResponse, error)
 	FetchConfig(ctx context.Context, address string, r *wire.FetchConfigRequest) (*wire.FetchConfigResponse, error)
@@ -32,45 +33,49 @@
 	Probe(ctx context.Context, address string, r *wire.ProbeRequest) (*wire.ProbeResponse, error)
 }
 
-// Config tunes a node.
+// Config holds the settings of a Node.
 type Config struct {
-	// ProbeInterval is the period of the probe duty.
+	// ProbeInterval is the time between two probes.
 	ProbeInterval time.Duration
-	// ProbeTimeout bounds one exchange: who takes longer is asked for indirectly.
+	// ProbeTimeout bounds one exchange. A member that takes longer is probed indirectly,
+	// through other members.
 	ProbeTimeout time.Duration
 	// CallTimeout bounds any other call to a peer.
 	CallTimeout time.Duration
 	// Successors is the number of ring successors that are probed in turn.
 	Successors int
-	// Fanout is the number of members that news is pushed to at once, drawn from
-	// Contacts members that stay the same for an epoch.
+	// Fanout is the number of members that an urgent update is pushed to at once. They
+	// are drawn from a set of Contacts members that stays the same for an epoch.
 	Fanout   int
 	Contacts int
-	// WatchersPerDomain members of each failure domain watch the platform.
+	// WatchersPerDomain is the number of members of each failure domain that watch the
+	// platform.
 	WatchersPerDomain int
-	// EpochLength is how long a choice of watchers and contacts stands.
+	// EpochLength is how long a choice of watchers and contacts is valid.
 	EpochLength time.Duration
-	// WatchTimeout bounds one waiting watch.
+	// WatchTimeout bounds one long poll of the platform.
 	WatchTimeout time.Duration
-	// HostListInterval is the period of a watcher's reads of the host list.
+	// HostListInterval is the time between two reads of the host list by a watcher.
 	HostListInterval time.Duration
-	// PlatformStaleAfter is the age of platform knowledge after which a member that
-	// is no watcher reads the platform itself.
+	// PlatformStaleAfter is the age of the last known platform read after which a member
+	// that is not a watcher reads the platform itself.
 	PlatformStaleAfter time.Duration
-	// FallbackReadRate is the number of such reads a second of the whole fleet.
+	// FallbackReadRate is the rate of such reads by the whole fleet, per second.
 	FallbackReadRate float64
-	// ReconnectInterval is the period of tries to reach members thought dead.
+	// ReconnectInterval is the time between two attempts to reach a member thought dead.
 	ReconnectInterval time.Duration
-	// RowsPerExchange and ReportsPerExchange bound one message.
+	// RowsPerExchange and ReportsPerExchange bound the member rows and load reports in
+	// one message.
 	RowsPerExchange    int
 	ReportsPerExchange int
-	// ReportInterval is the shortest period of this process's reports.
+	// ReportInterval is the minimum time between two load reports of this process.
 	ReportInterval time.Duration
-	// Seeds are addresses to start from when the host list does not answer.
+	// Seeds are addresses of processes to join through besides those on the host list, so
+	// that a process can also start while the host list does not answer.
 	Seeds []string
 }
 
-// DefaultConfig is what processes use.
+// DefaultConfig returns the settings that processes use.
 func DefaultConfig() Config {
 	return Config{
 		ProbeInterval: 500 * time.Millisecond, ProbeTimeout: 400 * time.Millisecond, CallTimeout: time.Second, Successors: 3, Fanout: 3, Contacts: 12,
@@ -81,15 +86,17 @@
 	}
 }
 
-// maxChangesPerExchange bounds the changes pushed in one message; who lacks
-// more fetches them.
+// maxChangesPerExchange bounds the configuration changes in the answer to an
+// exchange; a peer that lacks more fetches them.
 const maxChangesPerExchange = 16
 
-// mismatchesBeforeFetch is how many exchanges with differing tables are taken
-// for news underway before the whole table is fetched.
+// mismatchesBeforeFetch is the number of consecutive exchanges with a peer whose
+// table digest differs after which the whole table is fetched. Fewer are treated
+// as updates that are still spreading.
 const mismatchesBeforeFetch = 4
 
-// Node spreads and receives. Create it with New and start it with Run.
+// Node runs the gossip protocol for one process. Create it with New and start it
+// with Run.
 type Node struct {
 	cfg       Config
 	table     *fleet.Table
@@ -98,41 +105,48 @@
 	hosts     hostlist.List
 	peers     Peers
 	logger    *zap.Logger
-	// quarantines holds the evidence against requests that crash endpoints; it spreads with all else.
+	// quarantines holds the crash records of requests that crash endpoints; they are
+	// exchanged in the same messages.
 	quarantines *quarantine.Tracker
-	// quarantinesDiffer tells that a peer's quarantines differ from this process's.
+	// quarantinesDiffer is set when a peer's quarantines differ from this process's; the
+	// next message then carries a sample of them.
 	quarantinesDiffer atomic.Bool
-	// pushSignal wakes the push duty; one waiting wake-up is enough.
+	// pushSignal wakes the push loop; one pending signal is enough.
 	pushSignal *boundedqueue.Queue[struct{}]
 	repairs    *boundedqueue.Queue[repairJob]
 
-	// calls are the exchanges underway; Run waits for them.
+	// calls counts the goroutines with a call to a peer in flight; Run waits for them.
 	calls sync.WaitGroup
 
-	mu             sync.Mutex
+	mu sync.Mutex
+	// platformReadAt is when the platform was last read, by this process or, as far as
+	// it has learned, by any other.
 	platformReadAt time.Time
-	mismatches     map[string]int
-	probeIndex     int
-	counts         Counts
-	fence          uint64
-	changePush     pushState
+	// mismatches counts consecutive exchanges with a differing table digest, by member ID.
+	mismatches map[string]int
+	probeIndex int
+	counts     Counts
+	// fence is the highest fencing token seen.
+	fence      uint64
+	changePush pushState
 }
 
-// Counts are a node's exact message counts, for the capacity bench.
+// Counts holds a node's exact message counts, for the process metrics and the
+// capacity benchmark.
 type Counts struct {
 	Sent, Received           int64
 	SentBytes, ReceivedBytes int64
 	PlatformCalls            int64
 }
 
-// repairJob names a peer that has what this process lacks.
+// repairJob is a fetch of state that a peer has and this process lacks.
 type repairJob struct {
 	address string
-	// members asks for the whole table, not only the configuration.
+	// members requests the whole table in addition to the configuration.
 	members bool
 }
 
-// New returns a node; nothing runs yet.
+// New returns a node that is not running yet.
 func New(cfg Config, table *fleet.Table, store *config.Store, log *configlog.Log, hosts hostlist.List, peers Peers, logger *zap.Logger) *Node {
 	return &Node{
 		cfg: cfg, table: table, store: store, configLog: log, hosts: hosts, peers: peers, logger: logger, quarantines: quarantine.NewTracker(),
@@ -140,10 +154,11 @@
 	}
 }
 
-// Table gives the node's view of the fleet.
+// Table returns the node's view of the fleet.
 func (n *Node) Table() *fleet.Table { return n.table }
 
-// Quarantines gives what the fleet knows of requests that crash endpoints.
+// Quarantines returns the crash records and quarantines of requests that this
+// process knows.
 func (n *Node) Quarantines() *quarantine.Tracker { return n.quarantines }
 
 // Counts returns the message counts so far.
@@ -153,7 +168,8 @@
 	return n.counts
 }
 
-// Run starts all duties and returns when ctx ends and they have stopped.
+// Run starts all loops and returns after ctx has ended and they and all calls in
+// flight have stopped.
 func (n *Node) Run(ctx context.Context) {
 	loops := []func(context.Context){
 		n.probeLoop, n.pushLoop, n.platformWatchLoop, n.hostListLoop, n.expiryLoop, n.reconnectLoop, n.joinLoop, n.repairLoop,
@@ -167,12 +183,12 @@
 	n.calls.Wait()
 }
 
-// Announce wakes the push duty: there is news that should not wait for the next
+// Announce wakes the push loop, for an update that should not wait for the next
 // probe.
 func (n *Node) Announce() { n.pushSignal.TryPush(struct{}{}) }
 
-// jitter spreads periods by ±20% so that processes started together do not
-// stay in step.
+// jitter randomizes an interval by ±20%, so that processes started together do not
+// stay synchronized.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.8 + 0.4*rand.Float64()))
 }
@@ -180,8 +196,8 @@
 func (n *Node) probeLoop(ctx context.Context) {
 	for sleep.For(ctx, jitter(n.cfg.ProbeInterval)) {
 		if target, ok := n.nextProbeTarget(); ok {
-			// A slow answer must not delay the next probe: with it, one dead
-			// successor would hide the death of another.
+			// Runs concurrently because a slow answer must not delay the next probe:
+			// otherwise one dead successor would delay the detection of another.
 			n.calls.Go(func() { n.probe(ctx, target) })
 		}
 	}
@@ -211,8 +227,9 @@
 	}
 }
 
-// indirectProbe asks two others whether they reach the member: a link that is
-// down between two processes only must not kill a third party's endpoint.
+// indirectProbe asks two other members to probe the target and reports whether one
+// of them reached it. Without this, a broken link between just two processes would
+// get a healthy endpoint declared dead.
 func (n *Node) indirectProbe(ctx context.Context, target fleet.Member) bool {
 	const helpers = 2
 	answers := make(chan bool, helpers)
@@ -237,7 +254,7 @@
 	return false
 }
 
-// randomMembers draws some of this process's contacts.
+// randomMembers returns up to count random contacts of this process.
 func (n *Node) randomMembers(count int) []fleet.Member {
 	contacts := n.table.Contacts(n.cfg.Contacts, n.currentEpoch())
 	rand.Shuffle(len(contacts), func(i, j int) { contacts[i], contacts[j] = contacts[j], contacts[i] })
@@ -256,14 +273,15 @@
 		for _, m := range n.randomMembers(n.cfg.Fanout) {
 			n.calls.Go(func() { n.exchange(ctx, m.ID, m.Address) })
 		}
-		// News that arrives in a burst goes out together.
+		// Updates that arrive in a burst are sent together.
 		if !sleep.For(ctx, 50*time.Millisecond) {
 			return
 		}
 	}
 }
 
-// RunReports tells the fleet this process's load and the revision in force.
+// RunReports publishes this process's load and the configuration revision that it
+// has in force to the fleet, until ctx ends.
 func (n *Node) RunReports(ctx context.Context, load func() fleet.Load) {
 	for version := uint64(1); ; version++ {
 		self := n.table.Self()
@@ -277,10 +295,11 @@
 	}
 }
 
-// reportPeriod keeps all reports of the fleet within what the exchanges carry:
-// each process sends two messages a probe period (its own exchange and the
-// answer to another's), each with a few reports, and passes every report on
-// some times. In a large fleet the reports that come with answers are fresher.
+// reportPeriod returns the time between two reports of this process, long enough
+// that the exchanges can carry the reports of the whole fleet. Each process sends
+// two messages per probe interval (its own exchange and the answer to another's)
+// with up to ReportsPerExchange reports, and forwards every report several times. In
+// a large fleet the reports that come with answers to requests are fresher.
 func (n *Node) reportPeriod() time.Duration {
 	const messagesPerProbe = 2
 	perSecond := float64(messagesPerProbe*n.cfg.ReportsPerExchange) / n.cfg.ProbeInterval.Seconds()
@@ -288,7 +307,7 @@
 	return max(n.cfg.ReportInterval, time.Duration(sends/perSecond*float64(time.Second)))
 }
 
-// exchange runs one gossip round with a peer.
+// exchange performs one gossip exchange with a peer.
 func (n *Node) exchange(ctx context.Context, id, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.ProbeTimeout)
 	defer cancel()
@@ -317,19 +336,20 @@
 	}
 }
 
-// IsChosen tells whether this process is among the n of its role that an epoch's
-// duty falls to.
+// IsChosen reports whether this process is among the count live members of its role
+// that rendezvous hashing selects for the current epoch.
 func (n *Node) IsChosen(count int) bool { return n.table.IsChosen(count, n.currentEpoch()) }
 
-// Fence is the highest fencing number of orders that this process has heard of.
+// Fence returns the highest fencing token of orders that this process has seen.
 func (n *Node) Fence() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.fence
 }
 
-// RaiseFence takes in a fencing number. It spreads with every exchange, so that
-// an agent that has just started already refuses a lease holder of the past.
+// RaiseFence records a fencing token if it is higher than the highest seen. Every
+// exchange carries that token, so that an agent that has just started already
+// refuses orders of a previous lease holder.
 func (n *Node) RaiseFence(fence uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -358,14 +378,15 @@
 	return members, loads
 }
 
-// mergeUpdates merges what a peer told.
+// mergeUpdates merges the updates in a message from a peer, and announces those that
+// are urgent. ageMS is the age of the last platform read known to the peer.
 func (n *Node) mergeUpdates(address string, members []*wire.Member, loads []*wire.LoadReport, changes []*wire.Change, ageMS int64) {
 	now := time.Now()
 	urgent := false
 	for _, m := range members {
 		member := fleet.MemberFromWire(m)
 		if n.table.Merge(member, now) {
-			// Deaths and leavings must not wait: requests still go there.
+			// Suspected, dead and leaving members are urgent: requests are still sent there.
 			urgent = urgent || member.State != fleet.Alive
 		}
 	}
@@ -381,6 +402,8 @@
 	}
 }
 
+// compareState schedules a repair if a peer has a newer configuration or if its table
+// digest keeps differing.
 func (n *Node) compareState(id, address string, revision, digest uint64) {
 	if revision > n.store.View().Revision {
 		n.repairs.TryPush(repairJob{address: address})
@@ -424,9 +447,9 @@
 	}
 }
 
-// reconnectLoop reaches out to members thought dead. After a partition both
-// sides hold the other for dead and would never speak again by themselves; one
-// exchange lets the member refute, and the news spreads from there.
+// reconnectLoop contacts members thought dead. After a partition both sides consider
+// the other dead and would never contact each other again. One exchange lets the
+// member refute its death, and gossip spreads the refutation.
 func (n *Node) reconnectLoop(ctx context.Context) {
 	for sleep.For(ctx, jitter(n.cfg.ReconnectInterval)) {
 		dead := n.table.DeadMembers()
@@ -437,8 +460,9 @@
 	}
 }
 
-// joinLoop looks for the fleet while this process knows nobody: at its start the
-// host list may have lagged or named only hosts that are gone.
+// joinLoop tries to join the fleet while this process knows no other member: when it
+// started, the host list may have been out of date or have named only hosts that are
+// gone.
 func (n *Node) joinLoop(ctx context.Context) {
 	const interval = time.Second
 	for sleep.For(ctx, jitter(interval)) {
@@ -448,7 +472,7 @@
 	}
 }
 
-// reconnect tells a member that it is thought dead; its answer refutes that.
+// reconnect sends a member the row that says it is dead; its answer refutes that.
 func (n *Node) reconnect(ctx context.Context, m fleet.Member) {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.CallTimeout)
 	defer cancel()
--- a/internal/coordination/gossip/platform.go
+++ b/internal/coordination/gossip/platform.go
@@ -25,9 +25,11 @@
 	n.counts.PlatformCalls++
 }
 
-// platformWatchLoop watches the platform while this process is one of its domain's
-// watchers. Others read it only when nobody has for long, at a rate that the
-// whole fleet shares by arithmetic: an outage must not end in a stampede.
+// platformWatchLoop watches the configuration on the platform while this process is
+// one of the watchers of its failure domain. Other processes read it only when the
+// last known read is older than PlatformStaleAfter, at random times that keep the
+// whole fleet within FallbackReadRate, so that an outage does not end with a burst of
+// reads.
 func (n *Node) platformWatchLoop(ctx context.Context) {
 	var head configlog.Head
 	failures := 0
@@ -53,14 +55,15 @@
 	}
 }
 
-// fallbackWait is drawn from an interval that grows with the fleet, so that all
-// members together read at most RescueRate times a second.
+// fallbackWait returns a random wait from an interval that grows with the fleet, so
+// that all members together read at most FallbackReadRate times a second on average.
 func (n *Node) fallbackWait() time.Duration {
 	interval := time.Duration(float64(n.table.Size()) / n.cfg.FallbackReadRate * float64(time.Second))
 	return time.Second + time.Duration(rand.Float64()*2*float64(interval))
 }
 
-// backoff doubles from 0.1 s to 10 s with full jitter.
+// backoff returns the wait before the next attempt. Its limit doubles from 0.1 s with
+// each failure, up to 10 s, and the wait is drawn with full jitter.
 func backoff(failures int) time.Duration {
 	limit := min(10*time.Second, 100*time.Millisecond<<min(failures, 10))
 	return time.Duration(rand.Float64() * float64(limit))
@@ -80,7 +83,7 @@
 func (n *Node) catchUp(ctx context.Context, head configlog.Head) error {
 	before := n.store.View().Revision
 	if err := n.configLog.CatchUp(ctx, n.store, head); err != nil {
-		n.logger.Warn("configuration not read", zap.Error(err))
+		n.logger.Warn("could not read the configuration from the platform", zap.Error(err))
 		return err
 	}
 	n.observePlatformRead(time.Now())
@@ -91,8 +94,8 @@
 	return nil
 }
 
-// hostListLoop reads the host list while this process is a watcher and spreads
-// which hosts are leaving.
+// hostListLoop reads the host list while this process is a watcher, and announces to
+// the fleet which hosts are leaving.
 func (n *Node) hostListLoop(ctx context.Context) {
 	for sleep.For(ctx, jitter(n.cfg.HostListInterval)) {
 		if n.hosts == nil || !n.isWatcher() {
@@ -112,17 +115,18 @@
 	}
 }
 
-// contactUnknownHosts speaks to a listed process that is missing from the table: it may
-// have started while nobody it could reach was listed.
+// contactUnknownHosts joins through up to maxJoins listed processes that are
+// missing from the table. Such a process may have started while no process that it
+// could reach was listed.
 func (n *Node) contactUnknownHosts(ctx context.Context, hosts []hostlist.Host) {
-	const maxContacts = 3
+	const maxJoins = 3
 	known := map[string]bool{"": true, n.table.Self().Address: true}
 	for _, m := range n.table.Members() {
 		known[m.Address] = true
 	}
 	contacted := 0
 	for _, i := range rand.Perm(len(hosts)) {
-		if contacted == maxContacts {
+		if contacted == maxJoins {
 			return
 		}
 		if !known[hosts[i].Address] {
@@ -138,13 +142,14 @@
 	return n.hosts.Hosts(ctx)
 }
 
-// Join finds the fleet and the configuration in force. It fails with
-// ErrNoSource if neither the platform nor a peer answered; the caller is then
-// not ready and tries again.
+// Join contacts the fleet and obtains the configuration in force. It returns
+// ErrNoConfigSource if neither the platform nor a peer answered; the caller is then
+// not ready and retries.
 //
-// Peers come first: when a whole failure domain restarts, hundreds of reads
-// would otherwise meet the platform at once. The platform is read when no peer
-// has heard from it lately.
+// Peers are asked first: when a whole failure domain restarts, hundreds of reads
+// would otherwise reach the platform at once. The platform is read only if no peer
+// answered or the last read known to those that did is older than
+// PlatformStaleAfter.
 func (n *Node) Join(ctx context.Context) error {
 	reached := n.join(ctx)
 	if reached && n.platformAge() < n.cfg.PlatformStaleAfter {
@@ -163,7 +168,7 @@
 	return nil
 }
 
-// join introduces this process to some seeds and takes over what they know.
+// join joins through up to maxSeeds seeds and reports whether one was reached.
 func (n *Node) join(ctx context.Context) bool {
 	const maxSeeds = 3
 	reached := 0
@@ -198,6 +203,8 @@
 	return addresses
 }
 
+// joinThrough fetches the member table and the configuration of the process at address
+// and announces this process to it. It reports whether all of this succeeded.
 func (n *Node) joinThrough(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.CallTimeout)
 	defer cancel()
@@ -215,7 +222,7 @@
 	return err == nil
 }
 
-// mergeTable takes in a whole table.
+// mergeTable merges the whole member table of a peer.
 func (n *Node) mergeTable(members []*wire.Member) {
 	now := time.Now()
 	for _, m := range members {
@@ -223,7 +230,7 @@
 	}
 }
 
-// repairLoop fetches what a peer has and this process lacks.
+// repairLoop fetches state that a peer has and this process lacks.
 func (n *Node) repairLoop(ctx context.Context) {
 	for {
 		job, err := n.repairs.Pop(ctx)
@@ -250,6 +257,9 @@
 	}
 }
 
+// fetchConfig fetches and applies the configuration that a peer has beyond the revision
+// in force, and reports whether the peer answered, and with a valid snapshot if it
+// sent one.
 func (n *Node) fetchConfig(ctx context.Context, address string) bool {
 	resp, err := n.peers.FetchConfig(ctx, address, &wire.FetchConfigRequest{HaveRevision: n.store.View().Revision})
 	if err != nil {
@@ -272,7 +282,8 @@
 	return true
 }
 
-// applyChanges applies what follows the revision in force and tells whether it moved.
+// applyChanges applies the changes that follow the revision in force and reports
+// whether that revision has advanced.
 func (n *Node) applyChanges(changes []*wire.Change) bool {
 	before := n.store.View().Revision
 	for _, w := range changes {
@@ -288,7 +299,8 @@
 	return n.store.View().Revision != before
 }
 
-// recentChanges are pushed along while they are news.
+// recentChanges returns the newest configuration change for the next request to a peer.
+// It does so 2*Fanout times for each new revision, and then returns nil.
 func (n *Node) recentChanges() []*wire.Change {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -307,11 +319,12 @@
 	return changesToWire(changes)
 }
 
-// pushState counts how often the newest change is still pushed unasked.
+// pushState is the number of requests that will still carry the newest change.
 type pushState struct {
 	revision  uint64
 	remaining int
 }
 
-// maxPlatformAge is an age that tells nothing.
+// maxPlatformAge caps the age of the last platform read. It is also the value for an
+// unknown age.
 const maxPlatformAge = 24 * time.Hour
--- a/internal/coordination/gossip/quarantine.go
+++ b/internal/coordination/gossip/quarantine.go
@@ -11,13 +11,15 @@
 )
 
 const (
-	// maxQuarantineUpdateBytes bound what an exchange carries of them.
+	// maxQuarantineUpdateBytes bounds the crash record updates in one message.
 	maxQuarantineUpdateBytes = 200
-	// maxQuarantinesPerRepair are told at once to a peer that lacks some.
+	// maxQuarantinesPerRepair bounds the quarantines sent in one message after a peer's
+	// digest differed.
 	maxQuarantinesPerRepair = 14
 )
 
-// quarantineLoop has news of requests that crash endpoints pushed at once.
+// quarantineLoop announces urgent updates about requests that crash endpoints, so that
+// they are pushed at once.
 func (n *Node) quarantineLoop(ctx context.Context) {
 	for {
 		select {
@@ -29,7 +31,8 @@
 	}
 }
 
-// quarantineUpdates is what an exchange carries: news, and quarantines if some peer has others.
+// quarantineUpdates returns the crash records for the next message: pending updates and,
+// if the digest of a peer differed, a sample of the quarantines.
 func (n *Node) quarantineUpdates() []*wire.QuarantineCase {
 	if n.quarantines.IsEmpty() {
 		return nil
@@ -42,10 +45,11 @@
 	return quarantine.RecordsToWire(records, now)
 }
 
-// mergeQuarantines takes in what a peer told, and notes whether it has other quarantines.
+// mergeQuarantines merges the crash records in a message from a peer and records whether
+// the peer's quarantines differ.
 func (n *Node) mergeQuarantines(peer string, cases []*wire.QuarantineCase, digest uint64) {
 	if err := n.quarantines.MergeWire(cases, time.Now()); err != nil {
-		n.logger.Warn("quarantines of a peer do not decode", zap.String("peer", peer), zap.Error(err))
+		n.logger.Warn("could not decode the quarantines of a peer", zap.String("peer", peer), zap.Error(err))
 	}
 	if n.quarantines.Digest() != digest {
 		n.quarantinesDiffer.Store(true)
--- a/internal/coordination/gossip/quarantine_test.go
+++ b/internal/coordination/gossip/quarantine_test.go
@@ -8,14 +8,14 @@
 	"limpetwall/internal/state/fingerprint"
 )
 
-// TestQuarantinesReachAll tells one process of 60 of two crashes, another of a third, and lets both find that a request is to be
-// quarantined; a process starts later, and one was cut off.
-//
-// Wherever the request comes next it is known within seconds, also at those that heard nothing of the crashes.
+// TestQuarantinesReachAll guards against a process that still accepts a quarantined
+// request. Of 60 processes, one records two crashes of a request and another the
+// third, and both evaluate it. A process that was cut off meanwhile and one that
+// starts later must also refuse the request within 10 s.
 func TestQuarantinesReachAll(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.startMany(60, domains...)
-		c.waitFor("all know all", 30*time.Second, c.allSeeSize(60))
+		c.waitFor("every view has all members", 30*time.Second, c.allSeeSize(60))
 		key := fingerprint.Of(fingerprint.Request{Target: "/x"}, nil)
 		allRefuse := func() bool {
 			for _, m := range c.members() {
@@ -37,7 +37,7 @@
 			m.node.Quarantines().Evaluate(time.Now())
 		}
 		if len(members[0].node.Quarantines().DurableRecords())+len(members[1].node.Quarantines().DurableRecords()) == 0 {
-			t.Fatal("no quarantine")
+			t.Fatal("neither process that recorded crashes quarantined the request")
 		}
 		time.Sleep(2 * time.Second)
 		c.setCut(func(_, _ *member) bool { return false })
--- a/internal/coordination/gossip/serve.go
+++ b/internal/coordination/gossip/serve.go
@@ -9,7 +9,7 @@
 	"limpetwall/internal/state/config"
 )
 
-// HandleExchange answers a peer's gossip round.
+// HandleExchange answers a gossip exchange of a peer.
 func (n *Node) HandleExchange(_ context.Context, r *wire.ExchangeRequest) (*wire.ExchangeResponse, error) {
 	n.RaiseFence(r.GetFence())
 	n.mergeUpdates("", r.GetMembers(), r.GetLoads(), r.GetChanges(), r.GetPlatformAgeMs())
@@ -47,7 +47,8 @@
 	return out
 }
 
-// HandleFetchConfig returns what the caller lacks.
+// HandleFetchConfig returns the configuration changes that the caller lacks, or a
+// snapshot if the changes are no longer available.
 func (n *Node) HandleFetchConfig(_ context.Context, r *wire.FetchConfigRequest) (*wire.FetchConfigResponse, error) {
 	resp := &wire.FetchConfigResponse{Revision: n.store.View().Revision, PlatformAgeMs: n.platformAge().Milliseconds(), Fence: n.Fence()}
 	if changes, ok := n.store.Since(r.GetHaveRevision()); ok {
@@ -63,7 +64,7 @@
 	return resp, nil
 }
 
-// HandleFetchMembers returns the whole table.
+// HandleFetchMembers returns the whole member table.
 func (n *Node) HandleFetchMembers(context.Context, *wire.FetchMembersRequest) (*wire.FetchMembersResponse, error) {
 	resp := &wire.FetchMembersResponse{}
 	for _, m := range n.table.Members() {
@@ -72,7 +73,7 @@
 	return resp, nil
 }
 
-// HandleProbe reaches a third member on a peer's behalf.
+// HandleProbe probes a third member on behalf of a peer, for its indirect probe.
 func (n *Node) HandleProbe(ctx context.Context, r *wire.ProbeRequest) (*wire.ProbeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.ProbeTimeout)
 	defer cancel()
--- a/internal/coordination/gossip/server.go
+++ b/internal/coordination/gossip/server.go
@@ -6,11 +6,12 @@
 	"limpetwall/internal/protocol/wire"
 )
 
-// Server serves a node to its peers over grpc.
+// Server exposes a node to its peers over gRPC.
 type Server struct {
 	wire.UnimplementedPeerServer
 	Node *Node
-	// ErrorBudget returns the error-budget snapshot of this process as JSON; nil where there is none.
+	// ErrorBudget returns the error budget snapshot of this process as JSON. It is nil in
+	// processes that have none.
 	ErrorBudget func() ([]byte, error)
 }
 
