--- a/internal/coordination/gossip/gossip_test.go
+++ b/internal/coordination/gossip/gossip_test.go
@@ -56,7 +56,7 @@
 
 // TestDeadHostLeavesEveryView kills processes, one after another. The ring neighbours of
 // each get no answer and suspect it. When the time to refute has passed, within 5 s,
-// it must be dead in every table, so that no entry chooses it any more.
+// it must be dead in every table, so that no entry process chooses it any more.
 func TestDeadHostLeavesEveryView(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.startMany(60, domains...)
@@ -195,8 +195,8 @@
 }
 
 // TestPlatformDownForAnHour confirms a change, takes the platform down for an hour and
-// restarts processes meanwhile. Processes that start during the outage must get the
-// change from their peers. After the outage a new change must come into force as usual.
+// restarts processes meanwhile. The change must stay in force everywhere, and processes
+// that start during the outage must get it from their peers. After the outage a new change must come into force as usual.
 // During the outage the platform must receive fewer than 200 calls in any second.
 func TestPlatformDownForAnHour(t *testing.T) {
 	runCluster(t, func(c *cluster) {
--- a/internal/coordination/gossip/node.go
+++ b/internal/coordination/gossip/node.go
@@ -289,18 +289,18 @@
 			Incarnation: self.Incarnation, Version: version,
 			Load: load(), Revision: n.store.View().Revision, At: time.Now(),
 		})
-		if !sleep.For(ctx, jitter(n.reportPeriod())) {
+		if !sleep.For(ctx, jitter(n.reportInterval())) {
 			return
 		}
 	}
 }
 
-// reportPeriod returns the time between two reports of this process, long enough
+// reportInterval returns the time between two reports of this process, long enough
 // that the exchanges can carry the reports of the whole fleet. Each process sends
 // two messages per probe interval (its own exchange and the answer to another's)
 // with up to ReportsPerExchange reports, and forwards every report several times. In
 // a large fleet the reports that come with answers to requests are fresher.
-func (n *Node) reportPeriod() time.Duration {
+func (n *Node) reportInterval() time.Duration {
 	const messagesPerProbe = 2
 	perSecond := float64(messagesPerProbe*n.cfg.ReportsPerExchange) / n.cfg.ProbeInterval.Seconds()
 	sends := float64(n.table.Size() * n.table.ReportSends())
--- a/internal/coordination/gossip/platform.go
+++ b/internal/coordination/gossip/platform.go
@@ -168,7 +168,8 @@
 	return nil
 }
 
-// join joins through up to maxSeeds seeds and reports whether one was reached.
+// join joins the fleet through up to maxSeeds processes and reports whether at least one
+// was reached.
 func (n *Node) join(ctx context.Context) bool {
 	const maxSeeds = 3
 	reached := 0
@@ -183,6 +184,8 @@
 	return reached > 0
 }
 
+// seedAddresses returns the other addresses on the host list and the configured seeds, in
+// random order.
 func (n *Node) seedAddresses(ctx context.Context) []string {
 	own := n.table.Self().Address
 	var addresses []string
@@ -319,7 +322,7 @@
 	return changesToWire(changes)
 }
 
-// pushState is the number of requests that will still carry the newest change.
+// pushState counts how many more requests will carry the change of a revision.
 type pushState struct {
 	revision  uint64
 	remaining int
