--- a/internal/coordination/gossip/gossip_test.go
+++ b/internal/coordination/gossip/gossip_test.go
@@ -196,8 +196,9 @@
 
 // TestPlatformDownForAnHour confirms a change, takes the platform down for an hour and
 // restarts processes meanwhile. The change must stay in force everywhere, and processes
-// that start during the outage must get it from their peers. After the outage a new change must come into force as usual.
-// During the outage the platform must receive fewer than 200 calls in any second.
+// that start during the outage must get it from their peers. After the outage a new
+// change must come into force as usual. During the outage the platform must receive
+// fewer than 200 calls in any second.
 func TestPlatformDownForAnHour(t *testing.T) {
 	runCluster(t, func(c *cluster) {
 		c.startMany(24, domains...)
