--- a/internal/coordination/gossip/node.go
+++ b/internal/coordination/gossip/node.go
@@ -131,8 +131,9 @@
 	changePush pushState
 }
 
-// Counts holds a node's exact message counts, for the process metrics and the
-// capacity benchmark.
+// Counts holds a node's counts of exchange messages, with their exact encoded sizes, and
+// of its reads of the configuration from the platform. The process metrics and the
+// capacity benchmark use them.
 type Counts struct {
 	Sent, Received           int64
 	SentBytes, ReceivedBytes int64
